--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -1,6 +1,20 @@
 package plumpost.decision;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
 
 /**
  * Every decision of one dispatcher, by Deferred Assignment Scheduling (docs/design.md).
@@ -15,8 +29,12 @@
     static final double SLOT_GAIN = 0.1; // how fast a kind's slots follow what reports say
     static final int DRAWS = 6; // for each probe: asked is the one where the job should end first
     static final double FEE_WEIGHT = 3; // times to the aim that sending at full price is worth
-    static final double COLD_PART = 0.4, COLD_JOBS = 0.6; // planned of a cold budget, by work and by number
-    static final double EJECT_MS = 500, EJECT_MAX_MS = 8_000; // ejection of a failing worker
+    // planned of a cold budget, by work and by number
+    static final double COLD_PART = 0.4;
+    static final double COLD_JOBS = 0.6;
+    // ejection of a failing worker
+    static final double EJECT_MS = 500;
+    static final double EJECT_MAX_MS = 8_000;
     static final double EJECT_CAP = 0.5; // beyond this part of the fleet the cause is not the workers
     static final double PROMPT_GAIN = 0.1; // how fast the share of attempts that start at once follows
     static final double COMMIT_SHARE = 0.5; // prompt starts below which theta alone is no longer believed
@@ -25,17 +43,21 @@
     static final double PRESSED_MS = 2_000; // since a held job ran out of time: longer than gaps between them
     static final double SPARE_SHARE = 0.8; // of prompt starts above which late jobs may use what is spare
     static final int LOOK_AHEAD = 12; // held jobs that may find no worker in a release: bounds its cost
-    static final int LANE_AHEAD = 3, SCAN = 16; // the same for one kind of work; seats looked at
+    // the same for one kind of work; seats looked at
+    static final int LANE_AHEAD = 3;
+    static final int SCAN = 16;
     static final int COLD_LOOKS = 16; // at a seat that is still cold, while it warms
     static final double PRIORITY_STEPS = 20; // halvings of an estimate that a step of priority is worth: 2 s
     static final double RECHECK_MS = 80; // look again at held jobs while no event brings room
     // A change counts as told 6 s after discovery had it: some calls of up to 1 s each have to fit.
-    static final double LIST_RETRY_MS = 500, LIST_RETRY_MAX_MS = 1_300, LIST_EACH_MS = 12;
+    static final double LIST_RETRY_MS = 500;
+    static final double LIST_RETRY_MAX_MS = 1_300;
+    static final double LIST_EACH_MS = 12;
     static final double LIST_AGAIN_MS = 50; // at the least, between list calls that fail: whatever is set
     static final double TIMER_SLACK_MS = 0.01; // a host may round a timer down: waiting on stalled them all
 
     private static final Comparator<Request> ORDER =
-        Comparator.<Request>comparingDouble(r -> r.key).thenComparingLong(r -> r.order);
+            Comparator.<Request>comparingDouble(r -> r.key).thenComparingLong(r -> r.order);
 
     private Settings set;
     private final Actions out;
@@ -47,18 +69,31 @@
     private final Map<Integer, Lane> lanes = new LinkedHashMap<>();
     private final Set<Lane> waiting = new LinkedHashSet<>(); // lanes with held jobs, and some that had them
     private final Set<Request> spare = new LinkedHashSet<>(); // held, and can no longer be in time
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-        Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
     private final Kind[] kinds;
     private final PriorityQueue<Double> wakes = new PriorityQueue<>();
-    private final double[] prompt, waits, credit, creditAt, hints = new double[31];
+    private final double[] prompt;
+    private final double[] waits;
+    private final double[] credit;
+    private final double[] creditAt;
+    private final double[] hints = new double[31];
     private double[] fullPatience; // by class, grown as classes come
     private final double topImportance;
     private final boolean pulls;
-    private int hintCount, ejected, probesOut, moot;
+    private int hintCount;
+    private int ejected;
+    private int probesOut;
+    private int moot;
     private long order;
-    private boolean recheckSet, mixed, sweeps;
-    private double now, meanRun = 1000, promptShare = 1, meanCost, listAskedAt = Double.NEGATIVE_INFINITY;
+    private boolean recheckSet;
+    private boolean mixed;
+    private boolean sweeps;
+    private double now;
+    private double meanRun = 1000;
+    private double promptShare = 1;
+    private double meanCost;
+    private double listAskedAt = Double.NEGATIVE_INFINITY;
     private double pressedUntil = Double.NEGATIVE_INFINITY;
 
     /** A dispatcher with nothing taken and no list yet. */
@@ -70,7 +105,10 @@
         waits = new double[settings.zones()];
         Arrays.setAll(prompt = new double[settings.zones()], z -> z == settings.zone() ? 20 : 60);
         pulls = settings.reports() == Reports.PULL && settings.limits().probes();
-        topImportance = settings.classes().stream().mapToDouble(JobClass::importance).max().orElse(1);
+        topImportance = settings.classes().stream()
+                .mapToDouble(JobClass::importance)
+                .max()
+                .orElse(1);
         Arrays.fill(credit = new double[settings.tenants().size()], 3);
         creditAt = new double[credit.length];
         fullPatience = new double[settings.classes().size()];
@@ -78,44 +116,80 @@
 
     /** What the workers of one kind have in common: speed over the yardstick and slots, both learned. */
     private static final class Kind {
-        double cost = 4000, run = 4000, slots = THETA, proven = 1;
+        double cost = 4000;
+        double run = 4000;
+        double slots = THETA;
+        double proven = 1;
 
-        double speed() { return cost / run; }
+        double speed() {
+            return cost / run;
+        }
     }
 
     private static final class Worker {
         final String id;
-        int zone, kind, cell, failures, jobs, index = -1;
+        int zone;
+        int kind;
+        int cell;
+        int failures;
+        int jobs;
+        int index = -1;
         boolean probing;
         Phase phase = Phase.SERVING;
-        double cameUp, own, running, room;
-        double seenAt = Double.NEGATIVE_INFINITY, reportAt = seenAt, lastSent = seenAt;
-        double links, idleSince, cost, run, badUntil, coldSince, coldDraw;
-        long turn, freeAs;
+        double cameUp;
+        double own;
+        double running;
+        double room;
+        double seenAt = Double.NEGATIVE_INFINITY;
+        double reportAt = seenAt;
+        double lastSent = seenAt;
+        double links;
+        double idleSince;
+        double cost;
+        double run;
+        double badUntil;
+        double coldSince;
+        double coldDraw;
+        long turn;
+        long freeAs;
         BitSet runs;
         int places;
 
-        Worker(String id) { this.id = id; }
+        Worker(String id) {
+            this.id = id;
+        }
     }
 
     private static final class Attempt {
         final Worker worker;
-        final double sentAt, need;
+        final double sentAt;
+        final double need;
         double startedAt = Double.NaN;
         boolean late;
         Ending ending;
 
-        Attempt(Worker to, double at, double slots) { worker = to; sentAt = at; need = slots; }
+        Attempt(Worker to, double at, double slots) {
+            worker = to;
+            sentAt = at;
+            need = slots;
+        }
     }
 
     private static final class Request {
         Job job;
         JobClass cls;
         final List<Attempt> attempts = new ArrayList<>(2);
-        double cost, deadline, aim, key, worth;
+        double cost;
+        double deadline;
+        double aim;
+        double key;
+        double worth;
         long order;
-        int attemptsOut, rounds;
-        boolean done, isHeld, dead;
+        int attemptsOut;
+        int rounds;
+        boolean done;
+        boolean isHeld;
+        boolean dead;
     }
 
     /** Held jobs of one kind of work, and the seats (workers with known places) last seen free for it. */
@@ -125,10 +199,10 @@
         int passed;
     }
 
-    private record Task(double at, long order, Runnable what, Request about) { }
+    private record Task(double at, long order, Runnable what, Request about) {}
 
-
-    @Override public void workers(double t, ListMode mode, List<WorkerEntry> entries) {
+    @Override
+    public void workers(double t, ListMode mode, List<WorkerEntry> entries) {
         now = t;
         if (mode == ListMode.FAILED) {
             // No herd on the list service: first calls are spread, later ones back off, more if they queued.
@@ -148,7 +222,10 @@
                 entries.forEach(e -> place(known.get(e.id())));
             } else {
                 plain.clear();
-                known.values().forEach(w -> { w.index = -1; place(w); });
+                known.values().forEach(w -> {
+                    w.index = -1;
+                    place(w);
+                });
             }
             gone.removeIf(this::forgotten);
             release();
@@ -198,7 +275,8 @@
         }
     }
 
-    @Override public void arrived(double t, Job job) {
+    @Override
+    public void arrived(double t, Job job) {
         now = t;
         JobClass c = set.classes().get(job.cls());
         double cost = Double.isNaN(job.costMs()) ? medianHint() : Math.max(1, job.costMs());
@@ -219,7 +297,12 @@
         r.worth = c.importance() * (inShare(job.tenant()) ? 1 : set.overShareWorth()) / topImportance;
         r.order = order++;
         requests.put(job.id(), r);
-        at(r.deadline - set.leastLeftMs(), () -> { if (r.attemptsOut == 0) finish(r); }, r);
+        at(
+                r.deadline - set.leastLeftMs(),
+                () -> {
+                    if (r.attemptsOut == 0) finish(r);
+                },
+                r);
         at(r.deadline - 2 * set.granularityMs(), () -> finish(r), r);
         hold(r);
         release();
@@ -241,7 +324,8 @@
         return hintCount == 0 ? meanRun : recent[recent.length / 2];
     }
 
-    @Override public void started(double t, String job, int attempt, String worker) {
+    @Override
+    public void started(double t, String job, int attempt, String worker) {
         now = t;
         Request r = requests.get(job);
         Attempt a = r == null || attempt >= r.attempts.size() ? null : r.attempts.get(attempt);
@@ -265,11 +349,14 @@
         settle();
     }
 
-    @Override public void progressed(double t, String job, int attempt, String worker, double share) { }
+    @Override
+    public void progressed(double t, String job, int attempt, String worker, double share) {}
 
-    @Override public void streaming(double t, String job, int attempt, String worker) { }
+    @Override
+    public void streaming(double t, String job, int attempt, String worker) {}
 
-    @Override public void ended(double t, Outcome o) {
+    @Override
+    public void ended(double t, Outcome o) {
         now = t;
         Request r = requests.get(o.job());
         Attempt a = r == null || o.attempt() >= r.attempts.size() ? null : r.attempts.get(o.attempt());
@@ -294,19 +381,22 @@
         settle();
     }
 
-    @Override public void clientGone(double t, String job) {
+    @Override
+    public void clientGone(double t, String job) {
         now = t;
         if (requests.containsKey(job)) forget(requests.get(job));
         settle();
     }
 
-    @Override public void timer(double t, long token) {
+    @Override
+    public void timer(double t, long token) {
         now = t;
         while (!wakes.isEmpty() && wakes.peek() <= now + TIMER_SLACK_MS) wakes.poll();
         settle();
     }
 
-    @Override public void probed(double t, String worker, Ending ending, double waitMs, LoadReport report) {
+    @Override
+    public void probed(double t, String worker, Ending ending, double waitMs, LoadReport report) {
         now = t;
         Worker w = known.get(worker);
         if (w != null && w.probing) {
@@ -319,7 +409,8 @@
         settle();
     }
 
-    @Override public void peerMessage(double t, int from, byte[] bytes) { }
+    @Override
+    public void peerMessage(double t, int from, byte[] bytes) {}
 
     // ---- ordinary path: hold, bar, release ----
 
@@ -328,7 +419,12 @@
         Attempt first = mayHaveRun(r);
         if (first != null && r.cls.effect() == Effect.GUARDED) {
             // A repeat is harmless until then: what found no worker by that time is given up at once.
-            at(first.sentAt + r.cls.windowMs(), () -> { if (r.isHeld) finish(r); }, r);
+            at(
+                    first.sentAt + r.cls.windowMs(),
+                    () -> {
+                        if (r.isHeld) finish(r);
+                    },
+                    r);
         }
         // While nobody gives hints, guesses at jobs differ only by when they were made.
         boolean blind = hintCount == 0 && Double.isNaN(r.job.costMs());
@@ -354,11 +450,17 @@
         return worthless(r) ? LATE_STEPS : -GIVE_STEPS * Math.log(kept) / Math.log(2);
     }
 
-    private static boolean worthless(Request r) { return r.dead && r.cls.lateWorth() == 0; }
+    private static boolean worthless(Request r) {
+        return r.dead && r.cls.lateWorth() == 0;
+    }
 
-    int held() { return waiting.stream().mapToInt(l -> l.held.size()).sum(); }
+    int held() {
+        return waiting.stream().mapToInt(l -> l.held.size()).sum();
+    }
 
-    private Lane lane(int work) { return lanes.computeIfAbsent(work, k -> new Lane()); }
+    private Lane lane(int work) {
+        return lanes.computeIfAbsent(work, k -> new Lane());
+    }
 
     /** A seat with room is free for each kind of its work, last come first; one that is gone is forgotten. */
     private void vacate(Worker w) {
@@ -405,7 +507,8 @@
                 r.dead = true;
                 r.key += lateSteps(r);
                 pressedUntil = now + PRESSED_MS;
-                if (worthless(r) && promptShare < SPARE_SHARE) finish(r); else keep(r);
+                if (worthless(r) && promptShare < SPARE_SHARE) finish(r);
+                else keep(r);
                 continue;
             }
             // What found no room leaves none for a job of as many slots: one scan of the fleet serves both.
@@ -422,12 +525,15 @@
         passed.forEach(this::keep);
         if (!recheckSet && held() > 0) {
             recheckSet = true;
-            at(now + RECHECK_MS, () -> {
-                recheckSet = false;
-                sweeps = true;
-                release();
-                sweeps = false;
-            }, null);
+            at(
+                    now + RECHECK_MS,
+                    () -> {
+                        recheckSet = false;
+                        sweeps = true;
+                        release();
+                        sweeps = false;
+                    },
+                    null);
         }
     }
 
@@ -440,7 +546,7 @@
         boolean wary = promptShare < COMMIT_SHARE && !recallable(r, 1);
         boolean ignoreBad = ejected > EJECT_CAP * plain.size();
         Iterator<Worker> seats = lane.free.values().iterator();
-        for (int i = 0, looked = 0; i < plain.size() || looked < SCAN && seats.hasNext();) {
+        for (int i = 0, looked = 0; i < plain.size() || looked < SCAN && seats.hasNext(); ) {
             Worker w = i < plain.size() ? plain.get(i++) : seats.next();
             boolean seat = w.places > 0;
             if (seat && (w.badUntil > now || !coldAllows(r, w))) {
@@ -472,7 +578,8 @@
     /** How long until the job should have ended there; fees count as a share of the time to its aim. */
     private double endOn(Worker w, Request r, double lack) {
         boolean near = w.zone == set.zone();
-        double fee = (linked(w) ? 0 : set.fees().handshake()) + (near ? 0 : set.fees().crossZone());
+        double fee = (linked(w) ? 0 : set.fees().handshake())
+                + (near ? 0 : set.fees().crossZone());
         double odds = fee * FEE_WEIGHT + (pulls ? 0 : waits[w.zone]);
         double end = r.cost / speed(w) + lack * meanRun / kinds[w.kind].slots + (near ? 0 : prompt[w.zone]);
         if (w.failures > 0 && r.cls.effect() != Effect.FREE) odds += 1;
@@ -483,7 +590,9 @@
         return w.runs == null ? r.job.work() < set.classes().size() : w.runs.get(r.job.work());
     }
 
-    private boolean asks(Request r) { return pulls && r.rounds < PROBE_ROUNDS; }
+    private boolean asks(Request r) {
+        return pulls && r.rounds < PROBE_ROUNDS;
+    }
 
     /** Slots below the bar: the bar is what evidence says while it is fresh, and theta as it ages. */
     private double roomNow(Worker w) {
@@ -492,20 +601,27 @@
         return weight * w.room + (1 - weight) * (THETA - w.own);
     }
 
-    private double weight(Worker w) { return Math.max(0, 1 - (now - w.seenAt) / (EVIDENCE_RUNS * meanRun)); }
+    private double weight(Worker w) {
+        return Math.max(0, 1 - (now - w.seenAt) / (EVIDENCE_RUNS * meanRun));
+    }
 
     /** True where an open connection to the worker is likely to be idle. */
     private boolean linked(Worker w) {
         return w.links > w.jobs && now - w.idleSince < set.limits().keepaliveMs();
     }
 
-    private void see(Worker w, double room) { w.room = room; w.seenAt = now; }
+    private void see(Worker w, double room) {
+        w.room = room;
+        w.seenAt = now;
+    }
 
     private double speed(Worker w) {
         return (w.cost + 3 * meanRun * kinds[w.kind].speed()) / (w.run + 3 * meanRun);
     }
 
-    private double lateAfter(Worker w) { return 2 * prompt[w.zone] + 4 * set.granularityMs() + 5; }
+    private double lateAfter(Worker w) {
+        return 2 * prompt[w.zone] + 4 * set.granularityMs() + 5;
+    }
 
     // ---- exception: reports exist; a held job asks before theta is believed ----
 
@@ -548,18 +664,23 @@
 
     private void watchStart(Request r, Attempt a) {
         if (!set.tellsStart()) return;
-        at(a.sentAt + lateAfter(a.worker), () -> {
-            if (a.ending != null || !Double.isNaN(a.startedAt)) return;
-            a.late = true;
-            startSeen(a.worker, 0);
-            see(a.worker, Math.min(a.worker.room, a.worker.running - a.worker.own));
-            if (recallable(r, 0)) out.cancel(r.job.id(), r.attempts.indexOf(a));
-        }, r);
+        at(
+                a.sentAt + lateAfter(a.worker),
+                () -> {
+                    if (a.ending != null || !Double.isNaN(a.startedAt)) return;
+                    a.late = true;
+                    startSeen(a.worker, 0);
+                    see(a.worker, Math.min(a.worker.room, a.worker.running - a.worker.own));
+                    if (recallable(r, 0)) out.cancel(r.job.id(), r.attempts.indexOf(a));
+                },
+                r);
     }
 
     private boolean recallable(Request r, int more) {
-        return set.reports() != Reports.PULL && set.limits().cancelling() && r.cls.effect() == Effect.FREE
-            && r.attempts.size() + more < set.limits().maxAttempts();
+        return set.reports() != Reports.PULL
+                && set.limits().cancelling()
+                && r.cls.effect() == Effect.FREE
+                && r.attempts.size() + more < set.limits().maxAttempts();
     }
 
     private void startSeen(Worker w, double inTime) {
@@ -586,16 +707,23 @@
                 boolean quick = failed && now - a.sentAt < set.limits().dialTimeoutMs() / 2;
                 if (!quick) see(w, Math.min(w.room, 0));
                 boolean tells = a.ending == Ending.ERROR || failed && !quick;
-                if (tells || w.failures > 0) eject(w, 1); else w.failures++;
+                if (tells || w.failures > 0) eject(w, 1);
+                else w.failures++;
             }
             default -> see(w, ran ? w.room : Math.min(w.room, 0));
         }
     }
 
-    @Override public void retune(double t, Settings next) { now = t; set = next; }
+    @Override
+    public void retune(double t, Settings next) {
+        now = t;
+        set = next;
+    }
 
-    @Override public int avoided(double t) {
-        return (int) plain.stream().filter(x -> x.badUntil > t).count(); }
+    @Override
+    public int avoided(double t) {
+        return (int) plain.stream().filter(x -> x.badUntil > t).count();
+    }
 
     private void eject(Worker w, double part) {
         w.failures++;
@@ -613,7 +741,6 @@
         w.run = w.run * 0.8 + run;
     }
 
-
     private void retry(Request r) {
         Attempt first = mayHaveRun(r);
         Attempt last = r.attempts.get(r.attempts.size() - 1);
@@ -635,18 +762,23 @@
         if (r.cls.kind() >= 0 && r.cls.kind() != w.kind) return false;
         if (first == null || r.cls.effect() == Effect.FREE) return true;
         boolean drops = r.cls.effect() == Effect.GUARDED && now < first.sentAt + r.cls.windowMs();
-        return drops && switch (r.cls.scope()) {
-            case ALL -> true;
-            case ZONE -> first.worker.zone == w.zone;
-            case CELL -> first.worker.cell == w.cell;
-        };
+        return drops
+                && switch (r.cls.scope()) {
+                    case ALL -> true;
+                    case ZONE -> first.worker.zone == w.zone;
+                    case CELL -> first.worker.cell == w.cell;
+                };
     }
 
     /** The one place where attempts start; rules 1 to 4 are checked here for every path. */
     private boolean send(Request r, Worker w) {
-        if (r.done || w.phase != Phase.SERVING || r.attempts.size() >= set.limits().maxAttempts()
-            || r.attemptsOut > 0 && !set.limits().parallelTries() || !mayRun(r, w)
-            || now >= r.deadline - set.leastLeftMs() || !coldAllows(r, w)) {
+        if (r.done
+                || w.phase != Phase.SERVING
+                || r.attempts.size() >= set.limits().maxAttempts()
+                || r.attemptsOut > 0 && !set.limits().parallelTries()
+                || !mayRun(r, w)
+                || now >= r.deadline - set.leastLeftMs()
+                || !coldAllows(r, w)) {
             return false;
         }
         Attempt a = new Attempt(w, now, r.job.slots());
@@ -678,7 +810,7 @@
         double need = Math.max(r.cost, meanCost * COLD_PART / COLD_JOBS); // the rule counts jobs of mean work
         // A draw from the seed spreads the first jobs of all dispatchers evenly over time.
         double saved = (now - Math.max(w.lastSent, w.coldSince)) * (rate / set.balancers())
-            + (w.lastSent < w.coldSince ? w.coldDraw * need : 0);
+                + (w.lastSent < w.coldSince ? w.coldDraw * need : 0);
         return need <= saved && r.cost <= rate * rule.fallMs() / 4;
     }
 
@@ -687,7 +819,8 @@
         if (r.done) return;
         boolean harmless = mayHaveRun(r) == null || r.cls.effect() == Effect.FREE;
         double comeBack = Math.min(meanRun, set.limits().maxRetryAfterMs()); // by then a job has run through
-        if (harmless && now < r.aim) out.refuse(r.job.id(), comeBack); else out.fail(r.job.id());
+        if (harmless && now < r.aim) out.refuse(r.job.id(), comeBack);
+        else out.fail(r.job.id());
         for (int i = 0; set.limits().cancelling() && i < r.attempts.size(); i++) {
             if (r.attempts.get(i).ending == null) out.cancel(r.job.id(), i);
         }
@@ -706,8 +839,9 @@
         if (r.attemptsOut == 0) requests.remove(r.job.id());
     }
 
-
-    private void at(double when, Runnable what, Request r) { tasks.add(new Task(when, order++, what, r)); }
+    private void at(double when, Runnable what, Request r) {
+        tasks.add(new Task(when, order++, what, r));
+    }
 
     /** Runs what is due and keeps one timer with the host, for the next task that still matters. */
     private void settle() {
