--- a/src/main/java/plumpost/dispatch/JobRequest.java
+++ b/src/main/java/plumpost/dispatch/JobRequest.java
@@ -3,22 +3,22 @@
 import java.nio.ByteBuffer;
 
 /**
- * A job as a front hands it in.
+ * A job as a front submits it.
  *
- * @param id the job's id, told to the route node unchanged
+ * @param id the job's id, passed to the route node unchanged
  * @param cls index of its class
- * @param target path and query in which the front desk asked, or null where its protocol has none
- * @param fields header fields that go with it to the route node, whole lines
- * @param body what the job works on; neither front nor core changes it while the job is open
- * @param patienceMs how long the client still waits
- * @param costMs rough hint of its cost, or NaN
- * @param slots slots that it takes
- * @param memory memory that it takes, or NaN
+ * @param target path and query of the client's request, or null if the protocol has none
+ * @param fields header fields that are passed on to the route node, as complete lines
+ * @param body the job's input; neither front nor core changes it while the job is open
+ * @param patienceMs time that the client still waits
+ * @param costMs rough estimate of its cost, or NaN
+ * @param slots slots that it occupies
+ * @param memory memory that it needs, or NaN
  * @param tenant index of the tenant
- * @param key what the job is about, or null
- * @param retry true where the client has marked a retry
- * @param unique key under which a resubmit is the same job, with all that its front tells keys apart by, or null
- * @param work what the job is beside its class
+ * @param key locality key: the subject of the job, or null
+ * @param retry whether the client marked it as a retry
+ * @param unique key under which a resubmission is the same job, qualified by its front, or null
+ * @param work kind of work and scheduling properties besides the class
  */
 public record JobRequest(
         String id,
@@ -37,18 +37,18 @@
         Work work) {
 
     /**
-     * What a job is beside its class.
+     * The kind of work and scheduling properties of a job besides its class.
      *
-     * @param kind number of the kind of work: the class's index, or one above all classes
-     * @param name what its front calls that work, or null where it is the class
-     * @param unique the key under which its client knows it, or null
-     * @param reducer what is to put its parts together, or null
-     * @param priority above 0 before others of its age, below 0 after them
-     * @param aimMs within what time it is wanted, or NaN where its class says that
+     * @param kind number of the kind of work: the class's index, or a number above all classes
+     * @param name the front's name for the work, or null if it is the class
+     * @param unique the unique key as the client sent it, or null
+     * @param reducer function that combines its partial results, or null
+     * @param priority above 0 to run before other jobs of its age, below 0 to run after them
+     * @param aimMs target time for its completion, or NaN to use that of its class
      */
     public record Work(int kind, String name, String unique, String reducer, int priority, double aimMs) {}
 
-    /** A job that comes without fields. */
+    /** Creates a job without header fields. */
     public JobRequest(
             String id,
             int cls,
@@ -66,7 +66,7 @@
         this(id, cls, target, "", body, patienceMs, costMs, slots, memory, tenant, key, retry, unique, work);
     }
 
-    /** A job of its class's own work. */
+    /** Creates a job whose kind of work is its class. */
     public JobRequest(
             String id,
             int cls,
--- a/src/main/java/plumpost/dispatch/LeaseAuthority.java
+++ b/src/main/java/plumpost/dispatch/LeaseAuthority.java
@@ -3,16 +3,16 @@
 import java.util.function.Consumer;
 
 /**
- * Port to an agreed ledger: the right to hand a job out. A job that comes with it is held back at its node's link until
- * the right is granted; one without costs nothing.
+ * Port to a replicated ledger that grants leases: the right to hand a job to a worker. A job submitted with an authority
+ * is not sent to its node until the lease is granted; a job without one has no such step.
  */
 public interface LeaseAuthority {
-    /** Asks for the right to hand a job out once; then says, at once or later, whether it was granted. */
-    void ask(Attempt a, Consumer<Boolean> then);
+    /** Requests a lease to hand the job out once; calls back, immediately or later, with whether it was granted. */
+    void ask(Attempt attempt, Consumer<Boolean> onDecision);
 
-    /** The right was granted, and is not used: no node has seen the job. */
-    void unused(Attempt a);
+    /** Reports that a granted lease is not used: no node has seen the job. */
+    void unused(Attempt attempt);
 
-    /** An attempt under the right has ended without an answer; {@code neverRan} where no node has seen it. */
-    void ended(Attempt a, boolean neverRan);
+    /** Reports that an attempt under a lease ended without a result; {@code neverRan} if it certainly did not run. */
+    void ended(Attempt attempt, boolean neverRan);
 }
--- a/src/main/java/plumpost/dispatch/ListedNode.java
+++ b/src/main/java/plumpost/dispatch/ListedNode.java
@@ -2,5 +2,5 @@
 
 import plumpost.decision.Dispatcher.WorkerEntry;
 
-/** A line of a node list: what the module is told of a route node, and the link that reaches it. */
+/** A line of a node list: the entry of a route node for the decision module, and the link to the node. */
 public record ListedNode(WorkerEntry entry, NodeLink link) {}
--- a/src/main/java/plumpost/dispatch/NodeLink.java
+++ b/src/main/java/plumpost/dispatch/NodeLink.java
@@ -1,16 +1,16 @@
 package plumpost.dispatch;
 
-/** Port to one route node: carries attempts and probes there, and reports each one's end exactly once. */
+/** Port to one route node: sends attempts and probes to it and reports the end of each exactly once. */
 public interface NodeLink {
-    /** Sends the attempt's job; {@link Attempt} takes what comes of it. */
+    /** Sends the attempt's job; progress and the end are reported to the {@link Attempt}. */
     void send(Attempt attempt);
 
-    /** Stops waiting for an attempt; no more is to be reported of it. */
+    /** Stops waiting for an attempt; nothing more is reported about it. */
     void giveUp(Attempt attempt);
 
-    /** Asks for a sign of life and the load report. */
+    /** Sends a probe for liveness and the load report. */
     void probe(Probe probe);
 
-    /** The node is listed no more: what stands idle is closed. */
+    /** Closes idle connections because the node is no longer listed. */
     void leave();
 }
--- a/src/main/java/plumpost/dispatch/NodeList.java
+++ b/src/main/java/plumpost/dispatch/NodeList.java
@@ -1,7 +1,7 @@
 package plumpost.dispatch;
 
-/** Port to one source of route nodes; it tells the core of them by {@link DispatchCore#listed}. */
+/** Port to one source of route nodes; it reports them to the core by {@link DispatchCore#listed}. */
 public interface NodeList {
-    /** Asks for changes from now on. */
+    /** Starts watching the source for changes. */
     void watch();
 }
--- a/src/main/java/plumpost/dispatch/Probe.java
+++ b/src/main/java/plumpost/dispatch/Probe.java
@@ -3,8 +3,8 @@
 import plumpost.decision.Dispatcher.Ending;
 import plumpost.decision.Dispatcher.LoadReport;
 
-/** Takes the end of one probe. */
+/** Receives the end of one probe. */
 public interface Probe {
-    /** The probe ended; the report is null where none came. */
+    /** Reports that the probe ended; the load report is null if none was received. */
     void ended(Ending ending, LoadReport report);
 }
--- a/src/main/java/plumpost/dispatch/ReplyTo.java
+++ b/src/main/java/plumpost/dispatch/ReplyTo.java
@@ -2,36 +2,36 @@
 
 import java.nio.ByteBuffer;
 
-/** Port to whoever handed a job in: it gets exactly one of the three final answers. */
+/** Port to the client that submitted a job: exactly one of the three final answers is sent through it. */
 public interface ReplyTo {
-    /** Final answer: served with what a route node made. */
+    /** Final answer: served, with the route node's result. */
     void served(ByteBuffer result);
 
-    /** Final answer: refused, trying again is harmless; after the given time if it is above 0. */
+    /** Final answer: refused. A retry is harmless, after the given time if it is above 0. */
     void refused(double retryAfterMs);
 
-    /** Final answer: failed, nothing is promised about its effect. */
+    /** Final answer: failed. The job may or may not have had its effect. */
     void failed();
 
-    /** Final answer: failed, and the route node said why. */
-    default void failed(ByteBuffer why) {
+    /** Final answer: failed, with the route node's reason. */
+    default void failed(ByteBuffer reason) {
         failed();
     }
 
-    /** False where nobody listens: the job runs in the background. */
+    /** Returns whether a client waits for the answer; false for a background job. */
     default boolean waits() {
         return true;
     }
 
-    /** Reads what has come from it: one that has left is not to be found out only after its job was sent on. */
+    /** Reads the client's connection, to notice that it has closed before its job is sent to a node. */
     default void look() {}
 
-    /** News on the way: a part of the result. The final answer holds the whole result all the same. */
-    default void part(ByteBuffer more) {}
+    /** Passes on a part of the result. The final answer contains the full result all the same. */
+    default void part(ByteBuffer part) {}
 
-    /** News on the way: the share of the job that is done. */
-    default void progressed(double share) {}
+    /** Passes on the share of the job that is done. */
+    default void progressed(double progress) {}
 
-    /** News on the way: a route node's warning. */
-    default void warned(ByteBuffer words) {}
+    /** Passes on a warning of the route node. */
+    default void warned(ByteBuffer text) {}
 }
