--- a/src/main/java/plumpost/dispatch/Attempt.java
+++ b/src/main/java/plumpost/dispatch/Attempt.java
@@ -6,93 +6,96 @@
 import plumpost.decision.Dispatcher.LoadReport;
 import plumpost.decision.Dispatcher.WorkerEntry;
 
-/** One try of a job on one route node. A link reports through it; once it has ended, further reports are dropped. */
+/** One attempt of a job on one route node. The node's link reports through it; reports after its end are ignored. */
 public final class Attempt {
     final OpenJob job;
     final int number;
     final String node;
     final NodeLink link;
-    final double sentAt;
-    /** The node's line when it was sent, for those that may follow it. */
-    final WorkerEntry on;
+    final double sentAtMs;
+    /** The node's list entry when the attempt was made; it limits where a repeat may go. */
+    final WorkerEntry workerEntry;
 
     Ending ending;
-    /** Whether it waits for the right to be sent: until then no node has seen it. */
-    boolean held;
+    /** Whether it waits for its lease; until that is granted no node has seen it. */
+    boolean awaitingLease;
 
-    private final DispatchCore room;
+    private final DispatchCore core;
 
-    Attempt(DispatchCore room, OpenJob job, String node, NodeLink link, WorkerEntry on, double sentAt) {
-        this.on = on;
-        this.room = room;
+    Attempt(DispatchCore core, OpenJob job, String node, NodeLink link, WorkerEntry workerEntry, double sentAtMs) {
+        this.workerEntry = workerEntry;
+        this.core = core;
         this.job = job;
         this.number = job.attempts.size();
         this.node = node;
         this.link = link;
-        this.sentAt = sentAt;
+        this.sentAtMs = sentAtMs;
     }
 
-    /** The job that is tried. */
+    /** Returns the job as it was submitted. */
     public JobRequest sheet() {
-        return job.sheet;
+        return job.spec;
     }
 
-    /** The class that the job came with; settings that came since do not change it. */
+    /** Returns the class definition with which the job was submitted; later settings do not change it. */
     public Dispatcher.JobClass jobClass() {
-        return job.cls;
+        return job.jobClass;
     }
 
-    /** Time until the client gives up. */
+    /** Returns the milliseconds until the job's deadline. */
     public double leftMs() {
-        return job.deadline - room.nowMs();
+        return job.deadlineMs - core.nowMs();
     }
 
     /**
-     * False once the node was told to drain or be gone, or the time in which a repeat is harmless is over, or nobody
-     * waits for the job any more: what is not yet written must not be.
+     * Returns whether the attempt may still be written: false once the attempt or the job has ended, the node drains or
+     * is gone, or the window is over in which a repeat is harmless. Reads the clients' connections first.
      */
     public boolean wanted() {
-        return !room.left(job) && ending == null && room.serving(node) && job.mayRepeat(this, on, room.nowMs());
+        return !core.closedAfterPoll(job)
+                && ending == null
+                && core.isServing(node)
+                && job.mayRepeat(this, workerEntry, core.nowMs());
     }
 
-    /** The attempt's last byte has been written: from here on it counts as sent. A link tells this once. */
+    /** Reports that the attempt's last byte has been written, so that it counts as sent. A link calls this once. */
     public void whole() {
-        room.whole(this);
+        core.fullySent(this);
     }
 
-    /** The node has started the job. */
+    /** Reports that the node has started the job. */
     public void started() {
-        room.started(this);
+        core.started(this);
     }
 
-    /** The node tells the share that is done. */
-    public void progressed(double share) {
-        room.progressed(this, share);
+    /** Reports the share of the job that is done. */
+    public void progressed(double progress) {
+        core.progressed(this, progress);
     }
 
-    /** The node warns of something; the job goes on. */
-    public void warned(ByteBuffer words) {
-        room.warned(this, words);
+    /** Passes on a warning of the node; the job continues. */
+    public void warned(ByteBuffer text) {
+        core.warned(this, text);
     }
 
-    /** The node tells a part of the result; the rest comes with {@link #served}. */
-    public void part(ByteBuffer more) {
-        room.part(this, more);
+    /** Passes on a part of the result; the rest comes with {@link #served}. */
+    public void part(ByteBuffer part) {
+        core.part(this, part);
     }
 
-    /** The node has failed the job and says why. */
-    public void failed(ByteBuffer why, LoadReport report) {
-        job.words = why;
-        room.ended(this, Ending.ERROR, null, report);
+    /** Reports that the node failed the job, with the node's reason. */
+    public void failed(ByteBuffer reason, LoadReport report) {
+        job.failureText = reason;
+        core.ended(this, Ending.ERROR, null, report);
     }
 
-    /** The attempt was served; the result follows on the parts that were told. */
+    /** Reports that the attempt was served; the result continues the parts that were passed on. */
     public void served(ByteBuffer result, LoadReport report) {
-        room.ended(this, Ending.OK, result, report);
+        core.ended(this, Ending.OK, result, report);
     }
 
-    /** The attempt ended otherwise. */
-    public void ended(Ending how, LoadReport report) {
-        room.ended(this, how, null, report);
+    /** Reports any other ending of the attempt. */
+    public void ended(Ending outcome, LoadReport report) {
+        core.ended(this, outcome, null, report);
     }
 }
--- a/src/main/java/plumpost/dispatch/Bans.java
+++ b/src/main/java/plumpost/dispatch/Bans.java
@@ -8,114 +8,114 @@
 import java.util.TreeSet;
 
 /**
- * The operators' bans: route nodes taken out by hand, whatever the list says of them, until they are called back.
- * It also knows which ids were ever listed here, since a call about a node that nobody has heard of is owed a no.
- * Pure: no clock, no I/O; the core applies what it says.
+ * The operators' bans: route nodes that get no new work until the ban is lifted, whatever their list says. It also
+ * remembers which ids were listed here, so that a call for an unknown node can be rejected. It uses no clock and no
+ * I/O; the core applies the results.
  */
 public final class Bans {
-    /** Ids remembered as once listed; beyond this the oldest are forgotten, so that churn cannot fill the memory. */
-    static final int REMEMBERED = 8192;
-    /** Longest id taken in a call or a handed-over text: what a list can name, with room. */
-    static final int LONGEST_ID = 256;
+    /** Listed ids that are remembered; beyond this the oldest is forgotten, so that churn cannot exhaust memory. */
+    static final int MAX_REMEMBERED_IDS = 8192;
+    /** Maximum length of an id in a call or a handed-over text; more than a node list can name. */
+    static final int MAX_ID_LENGTH = 256;
 
-    private final Set<String> out = new TreeSet<>();
-    private final Set<String> seen = new LinkedHashSet<>();
+    private final Set<String> banned = new TreeSet<>();
+    private final Set<String> listedIds = new LinkedHashSet<>();
 
-    /** What a call about a node came to. */
+    /** Result of a call to ban a node or to lift its ban. */
     public enum Said {
-        /** The node is out now (or in again); it was so already. */
+        /** The node was already in the requested state. */
         SAME,
-        /** The node is out now (or in again), and this call changed that. */
+        /** This call changed the node's state. */
         CHANGED,
-        /** No node of this id was listed here or banned: nothing is changed. */
+        /** No node with this id was listed here or banned; nothing is changed. */
         UNKNOWN
     }
 
-    /** The list named a node. */
-    public void saw(String id) {
-        if (seen.remove(id) || seen.size() < REMEMBERED) {
-            seen.add(id);
+    /** Remembers a node that a list named. */
+    public void recordListed(String id) {
+        if (listedIds.remove(id) || listedIds.size() < MAX_REMEMBERED_IDS) {
+            listedIds.add(id);
             return;
         }
-        Iterator<String> oldest = seen.iterator();
+        Iterator<String> oldest = listedIds.iterator();
         oldest.next();
         oldest.remove();
-        seen.add(id);
+        listedIds.add(id);
     }
 
-    /** Whether the node is out by hand. */
-    public boolean out(String id) {
-        return out.contains(id);
+    /** Returns whether an operator has banned the node. */
+    public boolean isBanned(String id) {
+        return banned.contains(id);
     }
 
-    /** Whether the list ever named the node, or somebody banned it. */
-    public boolean known(String id) {
-        return seen.contains(id) || out.contains(id);
+    /** Returns whether a list is remembered to have named the node, or it is banned. */
+    public boolean isKnown(String id) {
+        return listedIds.contains(id) || banned.contains(id);
     }
 
-    /** How many nodes are out. */
-    public int size() {
-        return out.size();
+    /** Returns the number of banned nodes. */
+    public int bannedCount() {
+        return banned.size();
     }
 
-    /** Takes a node out; a second call for it changes nothing. */
+    /** Bans a node; a second call for it changes nothing. */
     public Said ban(String id) {
-        if (out.contains(id)) {
+        if (banned.contains(id)) {
             return Said.SAME;
         }
-        if (!seen.contains(id)) {
+        if (!listedIds.contains(id)) {
             return Said.UNKNOWN;
         }
-        out.add(id);
+        banned.add(id);
         return Said.CHANGED;
     }
 
-    /** Calls a node back: one call undoes however many calls out. */
-    public Said lift(String id) {
-        if (out.remove(id)) {
+    /** Lifts the ban of a node; one call undoes any number of bans. */
+    public Said unban(String id) {
+        if (banned.remove(id)) {
             return Said.CHANGED;
         }
-        return seen.contains(id) ? Said.SAME : Said.UNKNOWN;
+        return listedIds.contains(id) ? Said.SAME : Said.UNKNOWN;
     }
 
-    /** The bans as text to hand over: one id a line, sorted, so that equal sets give equal texts. */
+    /** Returns the bans as text to hand over: one id per line, sorted, so that equal sets give equal texts. */
     public String text() {
-        StringBuilder b = new StringBuilder();
-        out.forEach(id -> b.append(id).append('\n'));
-        return b.toString();
+        StringBuilder text = new StringBuilder();
+        banned.forEach(id -> text.append(id).append('\n'));
+        return text.toString();
     }
 
     /**
-     * Takes over the bans that another process of this scheduler wrote, in place of these; returns the ids whose state
-     * changed. Lines that no id can be (empty, too long, with spaces or control bytes) are passed over.
+     * Replaces these bans by those that another process of this scheduler wrote; returns the ids whose state changed.
+     * Lines that are no valid id (empty, too long, with spaces or control bytes) are skipped.
      */
     public List<String> adopt(String text) {
-        Set<String> now = new TreeSet<>();
+        Set<String> adopted = new TreeSet<>();
         for (String line : text.split("\n", -1)) {
             if (isId(line)) {
-                now.add(line);
+                adopted.add(line);
             }
         }
         List<String> changed = new ArrayList<>();
-        for (String id : out) {
-            if (!now.contains(id)) {
+        for (String id : banned) {
+            if (!adopted.contains(id)) {
                 changed.add(id);
             }
         }
-        for (String id : now) {
-            if (!out.contains(id)) {
+        for (String id : adopted) {
+            if (!banned.contains(id)) {
                 changed.add(id);
             }
-            saw(id); // one handed over as banned is known here too, so that its call back is owed a yes
+            recordListed(id); // a ban that was handed over makes the id known here, so that it can be lifted
         }
-        out.clear();
-        out.addAll(now);
+        banned.clear();
+        banned.addAll(adopted);
         return changed;
     }
 
-    /** Whether a text can be a node's id: 1 to 256 visible ASCII characters. */
+    /** Returns whether a text is a valid node id: 1 to 256 visible ASCII characters. */
     public static boolean isId(String text) {
-        if (text.isEmpty() || text.length() > LONGEST_ID) {
+        if (text.isEmpty() || text.length() > MAX_ID_LENGTH) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/plumpost/dispatch/DispatchCore.java
+++ b/src/main/java/plumpost/dispatch/DispatchCore.java
@@ -13,21 +13,22 @@
 import plumpost.decision.Dispatcher.Ending;
 import plumpost.decision.Dispatcher.ListMode;
 import plumpost.decision.Dispatcher.LoadReport;
+import plumpost.decision.Dispatcher.Outcome;
 import plumpost.decision.Dispatcher.WorkerEntry;
 import plumpost.decision.Logic;
 import plumpost.time.Clock;
 import plumpost.time.TimerWheel;
 
 /**
- * The core: keeps the ledger of jobs, drives the decision module and carries out its actions. The rules' guards are
- * here, once for all fronts. It deals in jobs, attempts and outcomes and knows no wire; one thread owns it.
+ * The dispatch core: keeps the ledger of open jobs, drives the decision module and carries out its actions. It enforces
+ * the job rules for all fronts in one place and does not depend on a network protocol. It is owned by one thread.
  */
 public final class DispatchCore {
-    /** After the client's time is up the module has this long to answer; then the core fails the job itself. */
+    /** Time after a job's deadline in which the module may still answer it; then the core fails the job itself. */
     private static final double BACKSTOP_MS = 2;
 
-    private final JobClassRegistry book;
-    private Dispatcher.Settings set;
+    private final JobClassRegistry classes;
+    private Dispatcher.Settings settings;
     private final Clock clock;
     private final TimerWheel wheel;
     private final Counters counters;
@@ -36,22 +37,22 @@
     private final JobAudit audit;
     private final Bounds bounds;
     private final Dispatcher logic;
-    private final KeptOutcomes kept;
-    private final WorkerRegistry roster = new WorkerRegistry();
+    private final KeptOutcomes keptOutcomes;
+    private final WorkerRegistry workers = new WorkerRegistry();
     private final JobLedger ledger;
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
-    private boolean busy;
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
+    private boolean processing;
 
-    /** What the core may hold: open jobs, bytes of their bodies, kept outcomes with their bytes, a result's. */
+    /** Limits: open jobs and their bytes in memory, kept outcomes and their bytes, bytes of one streamed result. */
     public record Bounds(int openJobs, long bodyBytes, int keptOutcomes, long keptBytes, long resultBytes) {
-        /** Bounds for results of up to 64 KiB. */
+        /** Creates bounds with streamed results of up to 64 KiB. */
         public Bounds(int openJobs, long bodyBytes, int keptOutcomes, long keptBytes) {
             this(openJobs, bodyBytes, keptOutcomes, keptBytes, 1 << 16);
         }
     }
 
-    /** A core with an empty ledger and no node yet. */
+    /** Creates a core with an empty ledger and no nodes. */
     public DispatchCore(
             Dispatcher.Settings settings,
             long seed,
@@ -60,10 +61,10 @@
             Counters counters,
             Bounds bounds,
             Consumer<String> log) {
-        this(settings, clock, wheel, counters, bounds, log, carrier -> new Logic(settings, seed, carrier));
+        this(settings, clock, wheel, counters, bounds, log, actions -> new Logic(settings, seed, actions));
     }
 
-    /** A core that drives the module which is made for its actions. */
+    /** Creates a core with a decision module from a factory, which gets the actions that the module may request. */
     DispatchCore(
             Dispatcher.Settings settings,
             Clock clock,
@@ -71,9 +72,9 @@
             Counters counters,
             Bounds bounds,
             Consumer<String> log,
-            Function<Dispatcher.Actions, Dispatcher> module) {
-        this.set = settings;
-        this.book = new JobClassRegistry(settings);
+            Function<Dispatcher.Actions, Dispatcher> dispatcherFactory) {
+        this.settings = settings;
+        this.classes = new JobClassRegistry(settings);
         this.clock = clock;
         this.wheel = wheel;
         this.counters = counters;
@@ -82,83 +83,81 @@
         this.log = log;
         this.guard = new RuleGuard(counters, log);
         this.audit = new JobAudit(ledger, guard, clock, wheel, this::failAndForget);
-        this.logic = module.apply(new Carrier());
-        this.kept = new KeptOutcomes(clock, bounds.keptOutcomes(), bounds.keptBytes());
+        this.logic = dispatcherFactory.apply(new ActionQueue());
+        this.keptOutcomes = new KeptOutcomes(clock, bounds.keptOutcomes(), bounds.keptBytes());
     }
 
     double nowMs() {
         return clock.nowMs();
     }
 
-    /** Jobs that still owe an answer. */
+    /** Returns the number of open jobs: those without a final answer. */
     public int open() {
         return ledger.size();
     }
 
-    /** Counts the open jobs of a kind of work. */
+    /** Returns the live counts of open jobs for a kind of work. */
     public OpenJobCounts.Tally tally(int work) {
-        return ledger.counts().of(work);
+        return ledger.counts().forKind(work);
     }
 
-    /** Visits the open jobs in no order. */
+    /** Calls the visitor with each open job, in no particular order; it must not end any of them. */
     public void each(Consumer<OpenJob> visitor) {
         ledger.view().forEach(visitor);
     }
 
-    /** Whether there is a place for one more open job with a body of so many bytes. */
+    /** Returns whether the bounds allow one more open job with a body of the given size. */
     public boolean hasRoom(long bodyBytes) {
-        return ledger.hasRoom(bodyBytes);
+        return ledger.hasCapacity(bodyBytes);
     }
 
-    /** The open job of an id, or null. */
+    /** Returns the open job with an id, or null. */
     public OpenJob entry(String id) {
-        return ledger.get(id);
+        return ledger.find(id);
     }
 
-    /** The open job under a unique key, as its front put that together, or null. */
+    /** Returns the open job under a unique key, in the form that its front composes, or null. */
     public OpenJob entryOf(String unique) {
-        return ledger.ofUnique(unique);
+        return ledger.findByUniqueKey(unique);
     }
 
-    boolean serving(String node) {
-        return roster.serving(node);
+    boolean isServing(String node) {
+        return workers.isServing(node);
     }
 
-    // ---- the operators' bans ----
-
-    /** An operator takes a node out: from the return of this call on, nothing new goes to it. */
+    /** Bans a node for an operator: once this call returns, no new attempt is sent to it. */
     public Bans.Said offline(String node) {
-        Bans.Said said = roster.ban(node);
-        if (said == Bans.Said.CHANGED) {
+        Bans.Said result = workers.ban(node);
+        if (result == Bans.Said.CHANGED) {
             counters.count("bans.out");
-            retell(node);
+            resendEntry(node);
         }
-        return said;
+        return result;
     }
 
-    /** An operator calls a node back: the module is told its line as the list last gave it. */
+    /** Lifts an operator's ban: the module gets the node's entry as the node list last gave it. */
     public Bans.Said online(String node) {
-        Bans.Said said = roster.lift(node);
-        if (said == Bans.Said.CHANGED) {
+        Bans.Said result = workers.unban(node);
+        if (result == Bans.Said.CHANGED) {
             counters.count("bans.in");
-            retell(node);
+            resendEntry(node);
         }
-        return said;
+        return result;
     }
 
-    /** Whether a node was ever listed here, or the fleet has spoken of it. */
+    /** Returns whether a node list, the fleet or a ban has ever named the node. */
     public boolean known(String node) {
-        return roster.known(node);
+        return workers.isKnown(node);
     }
 
-    /** A list that is not served by yet names the node: an operator may take it out already. */
+    /** Records a node that a list names before it is in use, so that operators can already ban it. */
     public void named(String node) {
-        roster.knows(node);
+        workers.remember(node);
     }
 
-    /** The fleet's word on a node, whether it was ever listed here or not: out by hand, or called back. */
+    /** Applies the fleet's decision to ban a node or to lift its ban, whether or not it was ever listed here. */
     public void banned(String node, boolean out) {
-        roster.knows(node);
+        workers.remember(node);
         if (out) {
             offline(node);
         } else {
@@ -166,522 +165,523 @@
         }
     }
 
-    /** The bans as text, to hand over to the next process of this scheduler. */
+    /** Returns the bans as text, to hand over to the next process of this scheduler. */
     public String bansText() {
-        return roster.bansText();
+        return workers.bansText();
     }
 
-    /** Takes over the bans that another process of this scheduler wrote; true where any node's state changed. */
+    /** Replaces the bans by those that another process of this scheduler wrote; returns whether any node changed. */
     public boolean handOver(String text) {
-        List<String> changed = roster.adopt(text);
-        changed.forEach(this::retell);
+        List<String> changed = workers.adopt(text);
+        changed.forEach(this::resendEntry);
         return !changed.isEmpty();
     }
 
-    /** The settings in force: the newest, with every class that was ever known under the number it first had. */
+    /** Returns the settings in force: the newest, with each class ever known under the number that it first had. */
     public Dispatcher.Settings settings() {
-        return set;
+        return settings;
     }
 
-    /** The number of the class of a name while it takes new jobs, or -1. */
+    /** Returns the number of the class with a name if it accepts new jobs, else -1. */
     public int offered(String name) {
-        return book.offered(name, nowMs());
+        return classes.findOffered(name, nowMs());
     }
 
     /**
-     * Takes new settings from SIGHUP: new classes, new definitions for new jobs, fewer attempts. Jobs under way keep
-     * the class that they came with. Throws IllegalArgumentException, naming the cause, for settings that cannot be
-     * taken; then nothing is changed.
+     * Applies new settings from SIGHUP; open jobs keep the class definition with which they were submitted. Throws
+     * IllegalArgumentException with the cause if the settings are not acceptable, and changes nothing then.
      */
     public void retune(Dispatcher.Settings next) {
-        Dispatcher.Settings merged = book.retune(next, nowMs());
-        set = merged;
+        Dispatcher.Settings merged = classes.retune(next, nowMs());
+        settings = merged;
         counters.count("config.retuned");
-        event(() -> logic.retune(nowMs(), merged));
+        process(() -> logic.retune(nowMs(), merged));
     }
 
-    /** The names of the classes, in the order of their numbers. */
+    /** Returns the names of the classes in the order of their numbers. */
     public List<String> classNames() {
-        return set.classes().stream().map(Dispatcher.JobClass::name).toList();
+        return settings.classes().stream().map(Dispatcher.JobClass::name).toList();
     }
 
-    /** Nodes on the lists. */
+    /** Returns the number of listed nodes. */
     public int listedNodes() {
-        return roster.size();
+        return workers.listedCount();
     }
 
-    /** Listed nodes that get nothing new: out by hand, or avoided by the module for their failures. */
+    /** Returns how many listed nodes are banned by operators, plus how many the module avoids for their failures. */
     public int avoided() {
-        return roster.bannedListed() + logic.avoided(nowMs());
+        return workers.countBannedListed() + logic.avoided(nowMs());
     }
 
-    private void retell(String node) {
-        WorkerEntry e = roster.shown(node);
-        if (e != null) {
-            event(() -> logic.workers(nowMs(), ListMode.INCREMENTAL, List.of(e)));
+    private void resendEntry(String node) {
+        WorkerEntry entry = workers.effectiveEntry(node);
+        if (entry != null) {
+            process(() -> logic.workers(nowMs(), ListMode.INCREMENTAL, List.of(entry)));
         }
     }
 
-    // ---- node lists ----
-
-    /** Adds a source of route nodes; it is asked to watch when the module subscribes. */
+    /** Adds a source of route nodes; it is asked for changes when the module subscribes. */
     public void add(NodeList list) {
-        roster.add(list);
+        workers.add(list);
     }
 
-    /** What a node list tells. A complete list replaces this source's nodes only; a failed call changes nothing. */
+    /** Applies an update of a node list. A complete list replaces only this source's nodes; a failed call none. */
     public void listed(NodeList source, ListMode mode, Collection<ListedNode> lines) {
         counters.count("list." + mode.name().toLowerCase(Locale.ROOT));
         counters.add("list.lines", lines.size());
-        List<WorkerEntry> told = roster.listed(source, mode, lines);
-        event(() -> logic.workers(nowMs(), mode, told));
+        List<WorkerEntry> entries = workers.applyList(source, mode, lines);
+        process(() -> logic.workers(nowMs(), mode, entries));
     }
 
-    // ---- jobs ----
-
     /**
-     * Takes a job; its reply-to gets exactly one final answer. A resubmit under a unique key joins the open job or
-     * gets the kept outcome. Returns the entry that answers it, or null if it was answered at once.
+     * Submits a job; its reply-to gets exactly one final answer. A resubmission under a unique key joins the open job
+     * or gets the kept outcome. Returns the open job that will answer, or null if the answer was given immediately.
      */
-    public OpenJob take(JobRequest sheet, ReplyTo replyTo) {
-        return take(sheet, replyTo, null);
+    public OpenJob take(JobRequest spec, ReplyTo replyTo) {
+        return take(spec, replyTo, null);
     }
 
-    /** The same for a job that is handed out only under a right, where {@code rights} is not null. */
-    public OpenJob take(JobRequest sheet, ReplyTo replyTo, LeaseAuthority rights) {
-        Dispatcher.JobClass cls = set.classes().get(sheet.cls());
-        counters.count("jobs.in." + cls.name());
-        if (sheet.unique() != null) {
-            OpenJob same = ledger.ofUnique(sheet.unique());
-            if (same != null) {
+    /** Submits a job that is handed out only under a lease if {@code leaseAuthority} is not null. */
+    public OpenJob take(JobRequest spec, ReplyTo replyTo, LeaseAuthority leaseAuthority) {
+        Dispatcher.JobClass jobClass = settings.classes().get(spec.cls());
+        counters.count("jobs.in." + jobClass.name());
+        if (spec.unique() != null) {
+            OpenJob existing = ledger.findByUniqueKey(spec.unique());
+            if (existing != null) {
                 counters.count("jobs.joined");
-                same.waiting.add(replyTo);
-                if (same.stream != null && same.stream.begun()) {
-                    replyTo.part(same.stream.all());
+                existing.recipients.add(replyTo);
+                if (existing.stream != null && existing.stream.isStarted()) {
+                    replyTo.part(existing.stream.content());
                 }
-                return same;
+                return existing;
             }
-            KeptOutcomes.Outcome outcome = kept.of(sheet.unique());
+            KeptOutcomes.Outcome outcome = keptOutcomes.find(spec.unique());
             if (outcome != null) {
                 counters.count("jobs.kept");
                 if (outcome.result() == null) {
-                    counters.count("jobs.failed." + cls.name());
+                    counters.count("jobs.failed." + jobClass.name());
                     replyTo.failed();
                 } else {
-                    counters.count("jobs.served." + cls.name());
+                    counters.count("jobs.served." + jobClass.name());
                     replyTo.served(outcome.result().duplicate());
                 }
                 return null;
             }
         }
-        if (ledger.get(sheet.id()) != null) {
+        if (ledger.find(spec.id()) != null) {
             counters.count("jobs.twice");
-            counters.count("jobs.failed." + cls.name());
+            counters.count("jobs.failed." + jobClass.name());
             replyTo.failed();
             return null;
         }
-        boolean full = !ledger.hasRoom(sheet) || sheet.unique() != null && !kept.hasRoom(ledger.uniques());
-        if (full || RuleGuard.tooLittleLeft(sheet.patienceMs())) {
+        boolean full = !ledger.hasCapacity(spec)
+                || spec.unique() != null && !keptOutcomes.hasCapacity(ledger.uniqueKeyCount());
+        if (full || RuleGuard.tooLittleLeft(spec.patienceMs())) {
             counters.count(full ? "jobs.overfull" : "jobs.too_late");
-            counters.count("jobs.refused." + cls.name());
+            counters.count("jobs.refused." + jobClass.name());
             replyTo.refused(full ? 1000 : 0);
             return null;
         }
-        OpenJob e = new OpenJob(sheet, cls, nowMs() + sheet.patienceMs(), rights);
-        e.waiting.add(replyTo);
-        ledger.add(e);
-        e.giveUp = wheel.at(e.deadline, () -> timeUp(e));
-        event(() -> logic.arrived(
+        OpenJob job = new OpenJob(spec, jobClass, nowMs() + spec.patienceMs(), leaseAuthority);
+        job.recipients.add(replyTo);
+        ledger.add(job);
+        job.deadlineTimer = wheel.at(job.deadlineMs, () -> onDeadline(job));
+        process(() -> logic.arrived(
                 nowMs(),
                 new Dispatcher.Job(
-                        sheet.id(),
-                        sheet.cls(),
-                        sheet.tenant(),
-                        sheet.key(),
-                        e.deadline - nowMs(),
-                        sheet.costMs(),
-                        sheet.slots(),
-                        sheet.memory(),
-                        sheet.retry(),
-                        sheet.work().kind(),
-                        sheet.work().priority(),
-                        sheet.work().aimMs())));
-        return e;
+                        spec.id(),
+                        spec.cls(),
+                        spec.tenant(),
+                        spec.key(),
+                        job.deadlineMs - nowMs(),
+                        spec.costMs(),
+                        spec.slots(),
+                        spec.memory(),
+                        spec.retry(),
+                        spec.work().kind(),
+                        spec.work().priority(),
+                        spec.work().aimMs())));
+        return job;
     }
 
     /**
-     * One who waits for the job has gone. When none is left the job is given up, except under a unique key once it
-     * may have run: its client may come again and must find the outcome of that run.
+     * Removes a client that has left. When none is left the job is abandoned, unless it has a unique key and may have
+     * run: then its client may resubmit it and must get the outcome of that run.
      */
-    public void gone(OpenJob e, ReplyTo replyTo) {
-        if (e.answered || !e.waiting.remove(replyTo) || !e.waiting.isEmpty()) {
+    public void gone(OpenJob job, ReplyTo replyTo) {
+        if (job.answered || !job.recipients.remove(replyTo) || !job.recipients.isEmpty()) {
             return;
         }
         counters.count("jobs.client_gone");
-        if (e.sheet.unique() == null || !e.mayHaveRun()) {
-            e.abandoned = true;
-            close(e);
-            event(() -> logic.clientGone(nowMs(), e.sheet.id()));
-            drawBack(e, Ending.CANCELLED);
+        if (job.spec.unique() == null || !job.mayHaveRun()) {
+            job.abandoned = true;
+            close(job);
+            process(() -> logic.clientGone(nowMs(), job.spec.id()));
+            withdraw(job, Ending.CANCELLED);
         }
     }
 
-    /** Calls a job off that no node has: who waits is told that it failed. False where a node has it. */
-    public boolean callOff(OpenJob e) {
-        if (e.answered || e.running() && !e.out().held) {
+    /** Cancels a job that no node has and answers its clients that it failed; false if a node has it. */
+    public boolean callOff(OpenJob job) {
+        if (job.answered || job.running() && !job.outstandingAttempt().awaitingLease) {
             return false;
         }
         counters.count("jobs.called_off");
-        failAndForget(e);
+        failAndForget(job);
         return true;
     }
 
-    /** Calls off all jobs that are meant and that no node has; returns how many. */
-    public int drop(Predicate<OpenJob> meant) {
-        List<OpenJob> all = ledger.view().stream().filter(meant).toList();
-        return (int) all.stream().filter(this::callOff).count();
+    /** Cancels all selected jobs that no node has; returns how many. */
+    public int drop(Predicate<OpenJob> selected) {
+        List<OpenJob> matching = ledger.view().stream().filter(selected).toList();
+        return (int) matching.stream().filter(this::callOff).count();
     }
 
-    /** Whether the outcome of a job under a unique key is kept. */
+    /** Returns whether the outcome of a job under a unique key is kept. */
     public boolean keeps(String unique) {
-        return kept.of(unique) != null;
+        return keptOutcomes.find(unique) != null;
     }
 
-    /** The scheduler ends before the job's time is up: it is given up now, while its client can still be told. */
-    public void cutShort(OpenJob e) {
-        if (!e.answered) {
+    /** Ends a job because the scheduler stops before its deadline, while its clients can still be answered. */
+    public void cutShort(OpenJob job) {
+        if (!job.answered) {
             counters.count("jobs.cut_short");
-            if (guard.mayRefuse(e)) {
-                answer(e, "refused", null, r -> r.refused(0)); // another scheduler may still serve it in time
+            if (guard.mayRefuse(job)) {
+                answer(job, "refused", null, reply -> reply.refused(0)); // another scheduler may still serve it in time
             } else {
-                fail(e);
+                fail(job);
             }
-            event(() -> logic.clientGone(nowMs(), e.sheet.id()));
-            drawBack(e, Ending.CANCELLED);
+            process(() -> logic.clientGone(nowMs(), job.spec.id()));
+            withdraw(job, Ending.CANCELLED);
         }
     }
 
-    /** From now on open jobs are looked through at intervals: none may be without an answer after its time. */
+    /** Starts the periodic check that no open job is without an answer after its deadline. */
     public void startAudit() {
         audit.start();
     }
 
-    /** The process ends now: whatever is open still is a fault, and is answered. */
+    /** Runs the check at the end of the process: each job still open is reported as a violation and answered. */
     public void auditEnd() {
-        audit.end();
+        audit.finish();
     }
 
-    private void failAndForget(OpenJob e) {
-        fail(e);
-        event(() -> logic.clientGone(nowMs(), e.sheet.id()));
-        drawBack(e, Ending.CANCELLED);
+    private void failAndForget(OpenJob job) {
+        fail(job);
+        process(() -> logic.clientGone(nowMs(), job.spec.id()));
+        withdraw(job, Ending.CANCELLED);
     }
 
-    /** A connection was closed by this process before the answer of its open job: a fault of a front. */
-    public void closedUnanswered(OpenJob e) {
-        guard.report(RuleGuard.Violation.CLOSED, e.sheet.id(), "its connection was closed unanswered");
+    /** Reports that this process closed a connection before it answered its open job, which is a defect of a front. */
+    public void closedUnanswered(OpenJob job) {
+        guard.report(RuleGuard.Violation.CLOSED, job.spec.id(), "its connection was closed unanswered");
     }
 
-    private void timeUp(OpenJob e) {
-        if (!e.answered) {
-            drawBack(e, Ending.TIMEOUT);
-            wheel.at(e.deadline + BACKSTOP_MS, () -> {
-                if (!e.answered) {
-                    guard.report(RuleGuard.Violation.UNANSWERED, e.sheet.id(), "left open by the module");
-                    fail(e);
-                    event(() -> logic.clientGone(nowMs(), e.sheet.id()));
+    private void onDeadline(OpenJob job) {
+        if (!job.answered) {
+            withdraw(job, Ending.TIMEOUT);
+            wheel.at(job.deadlineMs + BACKSTOP_MS, () -> {
+                if (!job.answered) {
+                    guard.report(RuleGuard.Violation.UNANSWERED, job.spec.id(), "left open by the module");
+                    fail(job);
+                    process(() -> logic.clientGone(nowMs(), job.spec.id()));
                 }
             });
         }
     }
 
-    private void drawBack(OpenJob e, Ending how) {
-        Attempt a = e.out();
-        if (a != null && a.held) {
-            ended(a, Ending.MOOT, null, null);
-        } else if (a != null) {
-            a.link.giveUp(a);
-            ended(a, how, null, null);
+    private void withdraw(OpenJob job, Ending ending) {
+        Attempt attempt = job.outstandingAttempt();
+        if (attempt != null && attempt.awaitingLease) {
+            ended(attempt, Ending.MOOT, null, null);
+        } else if (attempt != null) {
+            attempt.link.giveUp(attempt);
+            ended(attempt, ending, null, null);
         }
     }
 
-    /** The agreed ledger's word on an attempt that waits for it. */
-    private void granted(Attempt a, boolean yes) {
-        if (yes && a.wanted()) {
-            a.held = false;
-            a.link.send(a);
+    /** Sends an attempt that has waited for its lease, or ends it as not sent. */
+    private void onLeaseDecision(Attempt attempt, boolean granted) {
+        if (granted && attempt.wanted()) {
+            attempt.awaitingLease = false;
+            attempt.link.send(attempt);
             return;
         }
-        if (yes) {
-            a.job.rights.unused(a);
+        if (granted) {
+            attempt.job.leaseAuthority.unused(attempt);
         }
-        ended(a, Ending.MOOT, null, null);
+        ended(attempt, Ending.MOOT, null, null);
     }
 
-    // ---- what links report ----
-
-    void whole(Attempt a) {
-        counters.count("attempts.whole." + a.job.cls.name());
+    void fullySent(Attempt attempt) {
+        counters.count("attempts.whole." + attempt.job.jobClass.name());
     }
 
-    void started(Attempt a) {
-        if (a.ending == null) {
-            event(() -> logic.started(nowMs(), a.job.sheet.id(), a.number, a.node));
+    void started(Attempt attempt) {
+        if (attempt.ending == null) {
+            process(() -> logic.started(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node));
         }
     }
 
-    void progressed(Attempt a, double share) {
-        if (a.ending == null) {
-            a.job.share = share;
-            List.copyOf(a.job.waiting).forEach(r -> r.progressed(share));
-            event(() -> logic.progressed(nowMs(), a.job.sheet.id(), a.number, a.node, share));
+    void progressed(Attempt attempt, double progress) {
+        if (attempt.ending == null) {
+            attempt.job.progress = progress;
+            List.copyOf(attempt.job.recipients).forEach(r -> r.progressed(progress));
+            process(() -> logic.progressed(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node, progress));
         }
     }
 
-    void warned(Attempt a, ByteBuffer words) {
-        if (a.ending == null) {
-            List.copyOf(a.job.waiting).forEach(r -> r.warned(words));
+    void warned(Attempt attempt, ByteBuffer text) {
+        if (attempt.ending == null) {
+            List.copyOf(attempt.job.recipients).forEach(r -> r.warned(text));
         }
     }
 
-    /** Tells a part of the result to all who wait; one that cannot be told truly ends the attempt. */
-    void part(Attempt a, ByteBuffer more) {
-        OpenJob e = a.job;
-        if (a.ending != null || e.answered) {
+    /** Passes a part of the result on to all clients; a part that contradicts earlier ones ends the attempt. */
+    void part(Attempt attempt, ByteBuffer part) {
+        OpenJob job = attempt.job;
+        if (attempt.ending != null || job.answered) {
             return;
         }
-        if (e.stream == null) {
-            e.stream = new ResultStream((int) Math.min(bounds.resultBytes(), Integer.MAX_VALUE));
+        if (job.stream == null) {
+            job.stream = new ResultStream((int) Math.min(bounds.resultBytes(), Integer.MAX_VALUE));
         }
-        if (e.teller != a) {
-            e.teller = a;
-            e.stream.again();
+        if (job.streamingAttempt != attempt) {
+            job.streamingAttempt = attempt;
+            job.stream.restart();
         }
-        ByteBuffer fresh = e.stream.add(more);
-        if (fresh == null) {
-            untold(a);
-        } else if (fresh.hasRemaining()) {
-            List.copyOf(e.waiting).forEach(r -> r.part(fresh.duplicate()));
+        ByteBuffer added = job.stream.append(part);
+        if (added == null) {
+            failStream(attempt);
+        } else if (added.hasRemaining()) {
+            List.copyOf(job.recipients).forEach(r -> r.part(added.duplicate()));
         }
     }
 
-    /** The whole result, where its last part follows on what was told; else null, and the attempt has failed. */
-    private ByteBuffer whole(Attempt a, ByteBuffer last) {
-        ResultStream s = a.job.stream;
-        if (a.job.teller != a) {
-            a.job.teller = a;
-            s.again();
+    /** Returns the full result if its last part continues what was passed on; else fails the job and returns null. */
+    private ByteBuffer completeResult(Attempt attempt, ByteBuffer lastPart) {
+        ResultStream stream = attempt.job.stream;
+        if (attempt.job.streamingAttempt != attempt) {
+            attempt.job.streamingAttempt = attempt;
+            stream.restart();
         }
-        if (s.add(last) == null || !s.caughtUp()) {
-            untold(a);
+        if (stream.append(lastPart) == null || !stream.hasCaughtUp()) {
+            failStream(attempt);
             return null;
         }
-        return s.all();
+        return stream.content();
     }
 
-    /** Its parts are too many, or other than those that were told: nobody can be told the rest, so the job fails. */
-    private void untold(Attempt a) {
+    /** Fails a job whose result is too long or contradicts the parts that its clients already have. */
+    private void failStream(Attempt attempt) {
         counters.count("jobs.untold");
-        a.link.giveUp(a);
-        fail(a.job);
-        ended(a, Ending.ERROR, null, null);
+        attempt.link.giveUp(attempt);
+        fail(attempt.job);
+        ended(attempt, Ending.ERROR, null, null);
     }
 
-    void ended(Attempt a, Ending how, ByteBuffer result, LoadReport report) {
-        if (a.ending != null) {
+    void ended(Attempt attempt, Ending ending, ByteBuffer result, LoadReport report) {
+        if (attempt.ending != null) {
             return;
         }
-        ByteBuffer whole = how == Ending.OK && a.job.stream != null && !a.job.answered ? whole(a, result) : result;
-        if (how == Ending.OK && whole == null && a.job.stream != null && !a.job.answered) {
-            return; // its result could not be told: the attempt has ended as failed
+        OpenJob job = attempt.job;
+        ByteBuffer fullResult =
+                ending == Ending.OK && job.stream != null && !job.answered ? completeResult(attempt, result) : result;
+        if (ending == Ending.OK && fullResult == null && job.stream != null && !job.answered) {
+            return; // its result could not be passed on: the attempt has ended as failed
         }
-        a.ending = how;
-        ledger.counts().moved(a.job, false);
-        counters.count("attempts." + how.name().toLowerCase(Locale.ROOT));
-        WorkerRegistry.Node n = roster.get(a.node);
-        if (n != null) {
-            n.out = Math.max(0, n.out - 1); // a node dropped and listed anew began at 0
+        attempt.ending = ending;
+        ledger.counts().setRunning(job, false);
+        counters.count("attempts." + ending.name().toLowerCase(Locale.ROOT));
+        WorkerRegistry.Node worker = workers.find(attempt.node);
+        if (worker != null) {
+            worker.outstanding = Math.max(0, worker.outstanding - 1); // a node removed and listed again starts at 0
         }
-        if (a.job.rights != null && !a.held && how != Ending.OK && !a.job.answered) {
-            a.job.rights.ended(a, how.neverRan());
+        if (job.leaseAuthority != null && !attempt.awaitingLease && ending != Ending.OK && !job.answered) {
+            job.leaseAuthority.ended(attempt, ending.neverRan());
         }
-        if (how == Ending.OK && !a.job.answered) {
-            answer(a.job, "served", whole, r -> r.served(whole.duplicate()));
+        if (ending == Ending.OK && !job.answered) {
+            answer(job, "served", fullResult, r -> r.served(fullResult.duplicate()));
         }
-        boolean over = a.job.answered;
-        event(() -> logic.ended(
+        boolean answered = job.answered;
+        process(() -> logic.ended(
                 nowMs(),
-                new Dispatcher.Outcome(a.job.sheet.id(), a.number, a.node, how, nowMs() - a.sentAt, over, report)));
-    }
-
-    // ---- final answers ----
-
-    private void fail(OpenJob e) {
-        answer(e, "failed", null, r -> {
-            if (e.words == null) {
-                r.failed();
+                new Outcome(
+                        job.spec.id(),
+                        attempt.number,
+                        attempt.node,
+                        ending,
+                        nowMs() - attempt.sentAtMs,
+                        answered,
+                        report)));
+    }
+
+    private void fail(OpenJob job) {
+        answer(job, "failed", null, reply -> {
+            if (job.failureText == null) {
+                reply.failed();
             } else {
-                r.failed(e.words.duplicate());
+                reply.failed(job.failureText.duplicate());
             }
         });
     }
 
-    private void refuse(OpenJob e, double retryAfterMs) {
-        if (guard.mayRefuse(e)) {
-            answer(e, "refused", null, r -> r.refused(retryAfterMs));
+    private void refuse(OpenJob job, double retryAfterMs) {
+        if (guard.mayRefuse(job)) {
+            answer(job, "refused", null, reply -> reply.refused(retryAfterMs));
         } else {
-            guard.report(RuleGuard.Violation.REFUSAL, e.sheet.id(), "may have run and is failed");
-            fail(e);
+            guard.report(RuleGuard.Violation.REFUSAL, job.spec.id(), "may have run and is failed");
+            fail(job);
         }
     }
 
-    private void answer(OpenJob e, String how, ByteBuffer result, Consumer<ReplyTo> words) {
-        List<ReplyTo> all = List.copyOf(e.waiting);
-        close(e);
-        counters.count("jobs." + how + "." + e.cls.name());
-        if (e.sheet.unique() != null && e.mayHaveRun()) {
-            kept.keep(e.sheet.unique(), result, e.cls.deadlineMs());
+    private void answer(OpenJob job, String outcome, ByteBuffer result, Consumer<ReplyTo> reply) {
+        List<ReplyTo> recipients = List.copyOf(job.recipients);
+        close(job);
+        counters.count("jobs." + outcome + "." + job.jobClass.name());
+        if (job.spec.unique() != null && job.mayHaveRun()) {
+            keptOutcomes.keep(job.spec.unique(), result, job.jobClass.deadlineMs());
         }
-        all.forEach(words);
+        recipients.forEach(reply);
     }
 
-    private void close(OpenJob e) {
-        ledger.remove(e);
-        e.answered = true;
-        e.giveUp.cancel();
-        e.waiting.clear();
+    private void close(OpenJob job) {
+        ledger.remove(job);
+        job.answered = true;
+        job.deadlineTimer.cancel();
+        job.recipients.clear();
     }
 
-    // ---- the module ----
-
-    /** Hands events to the module one by one, and carries out what it asks for after each. */
-    private void event(Runnable event) {
-        events.add(event);
-        if (busy) {
+    /** Passes events to the module one at a time and carries out the actions that it requests after each. */
+    private void process(Runnable event) {
+        pendingEvents.add(event);
+        if (processing) {
             return;
         }
-        busy = true;
+        processing = true;
         try {
-            for (Runnable e = events.poll(); e != null; e = events.poll()) {
-                guarded(e);
-                for (Runnable a = actions.poll(); a != null; a = actions.poll()) {
-                    guarded(a);
+            for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
+                runGuarded(next);
+                for (Runnable action = pendingActions.poll(); action != null; action = pendingActions.poll()) {
+                    runGuarded(action);
                 }
             }
         } finally {
-            busy = false;
+            processing = false;
         }
     }
 
-    /** A fault in one event must not end the scheduler: the backstop answers what it leaves behind. */
-    private void guarded(Runnable step) {
+    /** Logs an exception instead of ending the scheduler; the backstop timer answers jobs that it leaves open. */
+    private void runGuarded(Runnable step) {
         try {
             step.run();
-        } catch (RuntimeException fault) {
+        } catch (RuntimeException exception) {
             counters.count("guard.fault");
-            log.accept("fault in the dispatch room: " + fault + at(fault));
+            log.accept("fault in the dispatch core: " + exception + location(exception));
         }
     }
 
-    private static String at(RuntimeException fault) {
-        return fault.getStackTrace().length == 0 ? "" : " at " + fault.getStackTrace()[0];
+    private static String location(RuntimeException exception) {
+        return exception.getStackTrace().length == 0 ? "" : " at " + exception.getStackTrace()[0];
     }
 
-    /** The one place where attempts start for all fronts; what breaks a rule ends as never sent. */
-    private void assign(String id, OpenJob e, String node) {
-        if (e == null || e.answered && !e.abandoned) {
-            guard.report(RuleGuard.Violation.OVER, id, "an attempt on " + node + " after its answer");
+    /** Starts an attempt, the only place that does so for all fronts; one that breaks a rule ends as not sent. */
+    private void assign(String jobId, OpenJob job, String node) {
+        if (job == null || job.answered && !job.abandoned) {
+            guard.report(RuleGuard.Violation.OVER, jobId, "an attempt on " + node + " after its answer");
             return;
         }
-        if (e.abandoned || left(e)) {
-            moot(new Attempt(this, e, node, null, null, nowMs()));
+        if (job.abandoned || closedAfterPoll(job)) {
+            reportNotSent(new Attempt(this, job, node, null, null, nowMs()));
             return;
         }
-        WorkerRegistry.Node n = roster.get(node);
-        RuleGuard.Violation broken = guard.attempt(
-                e,
-                n,
-                roster.banned(node),
-                new RuleGuard.Terms(
-                        set.classes().size(),
-                        set.limits().maxAttempts(),
-                        set.rules().coldMs()),
+        WorkerRegistry.Node worker = workers.find(node);
+        RuleGuard.Violation violation = guard.findViolation(
+                job,
+                worker,
+                workers.isBanned(node),
+                new RuleGuard.Limits(
+                        settings.classes().size(),
+                        settings.limits().maxAttempts(),
+                        settings.rules().coldMs()),
+                nowMs());
+        Attempt attempt = new Attempt(
+                this,
+                job,
+                node,
+                worker == null ? null : worker.listing.link(),
+                worker == null ? null : worker.listing.entry(),
                 nowMs());
-        Attempt a = new Attempt(
-                this, e, node, n == null ? null : n.line.link(), n == null ? null : n.line.entry(), nowMs());
-        e.attempts.add(a);
-        if (broken != null) {
-            guard.report(broken, id, "attempt " + a.number + " on " + node + " not sent");
-            moot(a);
+        job.attempts.add(attempt);
+        if (violation != null) {
+            guard.report(violation, jobId, "attempt " + attempt.number + " on " + node + " not sent");
+            reportNotSent(attempt);
             return;
         }
-        if (RuleGuard.tooLittleLeft(e.deadline - nowMs())) {
+        if (RuleGuard.tooLittleLeft(job.deadlineMs - nowMs())) {
             counters.count("attempts.too_little_left");
-            moot(a);
+            reportNotSent(attempt);
             return;
         }
         counters.count("attempts.out");
-        n.out++;
-        ledger.counts().moved(e, true);
-        if (e.rights == null) {
-            a.link.send(a);
+        worker.outstanding++;
+        ledger.counts().setRunning(job, true);
+        if (job.leaseAuthority == null) {
+            attempt.link.send(attempt);
         } else {
-            a.held = true;
-            e.rights.ask(a, yes -> granted(a, yes));
+            attempt.awaitingLease = true;
+            job.leaseAuthority.ask(attempt, yes -> onLeaseDecision(attempt, yes));
         }
     }
 
-    /**
-     * Whether nobody waits for a job any more: their end may have come since connections were last read, while the loop
-     * was busy or the process was given no time.
-     */
-    boolean left(OpenJob e) {
-        List.copyOf(e.waiting).forEach(ReplyTo::look);
-        return e.answered;
+    /** Reads the clients' connections first, as one may have closed since the last read; returns whether the job ended. */
+    boolean closedAfterPoll(OpenJob job) {
+        List.copyOf(job.recipients).forEach(ReplyTo::look);
+        return job.answered;
     }
 
-    /** Tells the module of an attempt that was not sent. */
-    private void moot(Attempt a) {
-        a.ending = Ending.MOOT;
-        event(() -> logic.ended(
-                nowMs(),
-                new Dispatcher.Outcome(a.job.sheet.id(), a.number, a.node, Ending.MOOT, 0, a.job.answered, null)));
+    /** Ends an attempt that was not sent and reports it to the module. */
+    private void reportNotSent(Attempt attempt) {
+        OpenJob job = attempt.job;
+        attempt.ending = Ending.MOOT;
+        process(() -> logic.ended(
+                nowMs(), new Outcome(job.spec.id(), attempt.number, attempt.node, Ending.MOOT, 0, job.answered, null)));
     }
 
-    private void cancel(String id, int number) {
-        OpenJob e = ledger.get(id);
-        if (e != null && number < e.attempts.size() && e.attempts.get(number) == e.out()) {
-            drawBack(e, Ending.CANCELLED);
+    private void cancel(String jobId, int number) {
+        OpenJob job = ledger.find(jobId);
+        if (job != null && number < job.attempts.size() && job.attempts.get(number) == job.outstandingAttempt()) {
+            withdraw(job, Ending.CANCELLED);
         }
     }
 
     private void probe(String node) {
-        WorkerRegistry.Node n = roster.get(node);
+        WorkerRegistry.Node worker = workers.find(node);
         counters.count("probes.out");
-        double asked = nowMs();
-        Probe reply = (how, report) -> {
-            counters.count("probes." + how.name().toLowerCase(Locale.ROOT));
-            event(() -> logic.probed(nowMs(), node, how, nowMs() - asked, report));
+        double sentAtMs = nowMs();
+        Probe reply = (ending, report) -> {
+            counters.count("probes." + ending.name().toLowerCase(Locale.ROOT));
+            process(() -> logic.probed(nowMs(), node, ending, nowMs() - sentAtMs, report));
         };
-        if (n == null) {
+        if (worker == null) {
             reply.ended(Ending.MOOT, null);
         } else {
-            n.line.link().probe(reply);
+            worker.listing.link().probe(reply);
         }
     }
 
-    /** Writes down what the module asks for; it is carried out once the module has returned. */
-    private final class Carrier implements Dispatcher.Actions {
+    /** Queues the actions that the module requests; they are carried out once the module has returned. */
+    private final class ActionQueue implements Dispatcher.Actions {
         @Override
-        public void assign(String job, String worker, double timeoutMs) {
-            OpenJob e = ledger.get(job); // its client may be found to have left before this is carried out
-            actions.add(() -> {
-                DispatchCore.this.assign(job, e, worker);
-                Attempt a = e == null ? null : e.out();
-                if (timeoutMs > 0 && a != null) {
-                    wheel.at(a.sentAt + timeoutMs, () -> {
-                        if (a.ending == null) {
-                            drawBack(e, Ending.TIMEOUT);
+        public void assign(String jobId, String worker, double timeoutMs) {
+            OpenJob job = ledger.find(jobId); // resolved now: its client may leave before this is carried out
+            pendingActions.add(() -> {
+                DispatchCore.this.assign(jobId, job, worker);
+                Attempt attempt = job == null ? null : job.outstandingAttempt();
+                if (timeoutMs > 0 && attempt != null) {
+                    wheel.at(attempt.sentAtMs + timeoutMs, () -> {
+                        if (attempt.ending == null) {
+                            withdraw(job, Ending.TIMEOUT);
                         }
                     });
                 }
@@ -689,48 +689,48 @@
         }
 
         @Override
-        public void refuse(String job, double retryAfterMs) {
-            finish(job, e -> DispatchCore.this.refuse(e, retryAfterMs));
+        public void refuse(String jobId, double retryAfterMs) {
+            finish(jobId, job -> DispatchCore.this.refuse(job, retryAfterMs));
         }
 
         @Override
-        public void fail(String job) {
-            finish(job, DispatchCore.this::fail);
+        public void fail(String jobId) {
+            finish(jobId, DispatchCore.this::fail);
         }
 
-        private void finish(String job, Consumer<OpenJob> words) {
-            actions.add(() -> {
-                OpenJob e = ledger.get(job);
-                if (e != null) {
-                    words.accept(e);
-                    drawBack(e, Ending.CANCELLED);
+        private void finish(String jobId, Consumer<OpenJob> action) {
+            pendingActions.add(() -> {
+                OpenJob job = ledger.find(jobId);
+                if (job != null) {
+                    action.accept(job);
+                    withdraw(job, Ending.CANCELLED);
                 }
             });
         }
 
         @Override
-        public void cancel(String job, int attempt) {
-            actions.add(() -> DispatchCore.this.cancel(job, attempt));
+        public void cancel(String jobId, int number) {
+            pendingActions.add(() -> DispatchCore.this.cancel(jobId, number));
         }
 
         @Override
         public void probe(String worker) {
-            actions.add(() -> DispatchCore.this.probe(worker));
+            pendingActions.add(() -> DispatchCore.this.probe(worker));
         }
 
         @Override
         public void timer(double atMs, long token) {
-            wheel.at(atMs, () -> event(() -> logic.timer(nowMs(), token)));
+            wheel.at(atMs, () -> process(() -> logic.timer(nowMs(), token)));
         }
 
         @Override
         public void subscribe() {
-            actions.add(roster::watch);
+            pendingActions.add(workers::subscribe);
         }
 
         @Override
-        public void log(String words) {
-            log.accept(words);
+        public void log(String text) {
+            log.accept(text);
         }
     }
 }
--- a/src/main/java/plumpost/dispatch/JobAudit.java
+++ b/src/main/java/plumpost/dispatch/JobAudit.java
@@ -5,13 +5,13 @@
 import plumpost.time.TimerWheel;
 
 /**
- * The run-time check of the first rule: every job has its final answer in time. Timers and the module see to that; a job that
- * both have left open is a fault, which is counted, logged with its id and mended by an answer.
+ * Checks at run time that every job gets its final answer in time. Timers and the module are responsible for that; a job
+ * that both have left open is a defect, which is counted, logged with the job's id and corrected by answering the job.
  */
 final class JobAudit {
-    /** Open jobs are looked through so often. */
+    /** Interval between two scans of the open jobs. */
     private static final double INTERVAL_MS = 250;
-    /** The protocol counts an answer as lost half a second after the client's time: what is found by then is in time. */
+    /** Age past the deadline that is reported; the protocol counts an answer as lost 500 ms after the deadline. */
     private static final double OVERDUE_MS = 200;
 
     private final JobLedger ledger;
@@ -20,7 +20,7 @@
     private final TimerWheel wheel;
     private final Consumer<OpenJob> answer;
 
-    /** An audit that has overdue jobs answered by {@code answer}. */
+    /** Creates an audit that passes overdue jobs to {@code answer}. */
     JobAudit(JobLedger ledger, RuleGuard guard, Clock clock, TimerWheel wheel, Consumer<OpenJob> answer) {
         this.ledger = ledger;
         this.guard = guard;
@@ -29,33 +29,33 @@
         this.answer = answer;
     }
 
-    /** From now on open jobs are looked through at intervals. */
+    /** Starts scanning the open jobs at intervals. */
     void start() {
         wheel.at(clock.nowMs() + INTERVAL_MS, () -> {
-            start(); // first, so that a fault in one look does not end them
-            look();
+            start(); // first, so that an exception in one scan does not stop the next ones
+            scan();
         });
     }
 
-    private void look() {
-        double overdue = clock.nowMs() - OVERDUE_MS;
-        for (OpenJob job : ledger.all()) {
-            if (job.deadline < overdue) {
-                mend(RuleGuard.Violation.UNANSWERED, job, "found open after its time");
+    private void scan() {
+        double overdueBefore = clock.nowMs() - OVERDUE_MS;
+        for (OpenJob job : ledger.snapshot()) {
+            if (job.deadlineMs < overdueBefore) {
+                reportAndAnswer(RuleGuard.Violation.UNANSWERED, job, "found open after its time");
             }
         }
     }
 
-    /** The process ends now: no job may be open. */
-    void end() {
-        for (OpenJob job : ledger.all()) {
-            mend(RuleGuard.Violation.ENDED, job, "open at the end of the process");
+    /** Reports and answers every job that is still open when the process ends. */
+    void finish() {
+        for (OpenJob job : ledger.snapshot()) {
+            reportAndAnswer(RuleGuard.Violation.ENDED, job, "open at the end of the process");
         }
     }
 
-    private void mend(RuleGuard.Violation violation, OpenJob job, String detail) {
+    private void reportAndAnswer(RuleGuard.Violation violation, OpenJob job, String detail) {
         if (!job.answered) {
-            guard.report(violation, job.sheet.id(), detail);
+            guard.report(violation, job.spec.id(), detail);
             answer.accept(job);
         }
     }
--- a/src/main/java/plumpost/dispatch/JobClassRegistry.java
+++ b/src/main/java/plumpost/dispatch/JobClassRegistry.java
@@ -7,68 +7,68 @@
 import plumpost.decision.Dispatcher.Settings;
 
 /**
- * The classes of jobs over the settings that SIGHUP brings. Each name keeps the number it first had, so that jobs
- * under way keep their class and every count stays under its name; a new name is numbered after all others. A class
- * that a file leaves out is no longer offered, after a short while in which jobs sent before the change still come.
- * Pure: the time is given.
+ * The job classes across the settings that SIGHUP loads. Each name keeps the number that it first had, so that open
+ * jobs keep their class and counters keep their name; a new name is numbered after all others. A class that a file
+ * omits is rejected after a grace period, in which jobs sent before the change still arrive. Callers pass the time.
  */
 public final class JobClassRegistry {
-    /** Names that one process may have known: beyond this a file is turned down, so that memory stays bounded. */
-    public static final int MOST = 256;
-    /** Jobs of a class that was just left out may still be under way to us: they are taken for so long. */
-    public static final double GONE_MS = 2_000;
+    /** Class names that one process may accumulate; a file that exceeds this is rejected, so memory stays bounded. */
+    public static final int MAX_CLASSES = 256;
+    /** Time for which a removed class still accepts jobs, since some sent before the change are still to arrive. */
+    public static final double REMOVED_CLASS_GRACE_MS = 2_000;
 
-    private final List<JobClass> all = new ArrayList<>();
-    private double[] goneAt;
-    private Settings now;
+    private final List<JobClass> knownClasses = new ArrayList<>();
+    private double[] removedAtMs;
+    private Settings current;
 
-    /** The classes of the first settings, all offered. */
+    /** Creates a registry with the classes of the first settings, all of which accept jobs. */
     public JobClassRegistry(Settings first) {
-        all.addAll(first.classes());
-        goneAt = new double[all.size()];
-        Arrays.fill(goneAt, Double.NaN);
-        now = first;
+        knownClasses.addAll(first.classes());
+        removedAtMs = new double[knownClasses.size()];
+        Arrays.fill(removedAtMs, Double.NaN);
+        current = first;
     }
 
-    /** The settings as the module is to see them: the newest, with every class known by its number. */
+    /** Returns the settings for the module: the newest, with every class ever known under its number. */
     public Settings settings() {
-        return now;
+        return current;
     }
 
     /**
-     * Takes new settings: a name that is known keeps its number and takes the new definition for new jobs; a new
-     * name is numbered after the others; a known name that is left out stops being offered {@link #GONE_MS} later.
+     * Merges new settings: a known name keeps its number and gets the new definition for new jobs; a new name is
+     * numbered after the others; a known name that is omitted stops accepting jobs after
+     * {@link #REMOVED_CLASS_GRACE_MS}.
      *
-     * @throws IllegalArgumentException where more than {@link #MOST} names would be known, naming the count
+     * @throws IllegalArgumentException with the count, if more than {@link #MAX_CLASSES} names would be known
      */
     public Settings retune(Settings next, double nowMs) {
-        List<JobClass> merged = new ArrayList<>(all);
-        boolean[] named = new boolean[all.size() + next.classes().size()];
-        for (JobClass c : next.classes()) {
-            int i = indexOf(merged, c.name());
-            if (i < 0) {
-                i = merged.size();
-                merged.add(c);
+        List<JobClass> merged = new ArrayList<>(knownClasses);
+        boolean[] present = new boolean[knownClasses.size() + next.classes().size()];
+        for (JobClass jobClass : next.classes()) {
+            int number = indexOf(merged, jobClass.name());
+            if (number < 0) {
+                number = merged.size();
+                merged.add(jobClass);
             } else {
-                merged.set(i, c);
+                merged.set(number, jobClass);
             }
-            named[i] = true;
+            present[number] = true;
         }
-        if (merged.size() > MOST) {
-            throw new IllegalArgumentException("classes: " + merged.size() + " names in all, more than " + MOST);
+        if (merged.size() > MAX_CLASSES) {
+            throw new IllegalArgumentException("classes: " + merged.size() + " names in all, more than " + MAX_CLASSES);
         }
-        double[] gone = Arrays.copyOf(goneAt, merged.size());
+        double[] newRemovedAtMs = Arrays.copyOf(removedAtMs, merged.size());
         for (int i = 0; i < merged.size(); i++) {
-            if (named[i]) {
-                gone[i] = Double.NaN;
-            } else if (i >= goneAt.length || Double.isNaN(goneAt[i])) {
-                gone[i] = nowMs;
+            if (present[i]) {
+                newRemovedAtMs[i] = Double.NaN;
+            } else if (i >= removedAtMs.length || Double.isNaN(removedAtMs[i])) {
+                newRemovedAtMs[i] = nowMs;
             }
         }
-        all.clear();
-        all.addAll(merged);
-        goneAt = gone;
-        now = new Settings(
+        knownClasses.clear();
+        knownClasses.addAll(merged);
+        removedAtMs = newRemovedAtMs;
+        current = new Settings(
                 next.balancers(),
                 next.index(),
                 next.zone(),
@@ -88,13 +88,16 @@
                 next.overShareWorth(),
                 next.granularityMs(),
                 next.leastLeftMs());
-        return now;
+        return current;
     }
 
-    /** The number of a class that takes new jobs at this time, or -1. */
-    public int offered(String name, double nowMs) {
-        int i = indexOf(all, name);
-        return i >= 0 && (Double.isNaN(goneAt[i]) || nowMs - goneAt[i] < GONE_MS) ? i : -1;
+    /** Returns the number of a class that accepts new jobs at this time, or -1. */
+    public int findOffered(String name, double nowMs) {
+        int number = indexOf(knownClasses, name);
+        return number >= 0
+                        && (Double.isNaN(removedAtMs[number]) || nowMs - removedAtMs[number] < REMOVED_CLASS_GRACE_MS)
+                ? number
+                : -1;
     }
 
     private static int indexOf(List<JobClass> classes, String name) {
--- a/src/main/java/plumpost/dispatch/JobLedger.java
+++ b/src/main/java/plumpost/dispatch/JobLedger.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The open jobs: by id, by unique key, and what they hold of the memory that the bounds allow. */
+/** The open jobs by id and by unique key, with the memory that they use of what the bounds allow. */
 final class JobLedger {
-    /** What an open job takes beside its body, measured on 100,000 Gearman jobs; the module has half of it. */
-    private static final int ENTRY_BYTES = 1100;
+    /** Memory that an open job uses besides its fields and body; half of it belongs to the decision module. */
+    private static final int ENTRY_OVERHEAD_BYTES = 1100;
 
     private final DispatchCore.Bounds bounds;
     private final Map<String, OpenJob> byId = new HashMap<>();
-    private final Map<String, OpenJob> byUnique = new HashMap<>();
+    private final Map<String, OpenJob> byUniqueKey = new HashMap<>();
     private final OpenJobCounts counts = new OpenJobCounts();
     private long heldBytes;
 
@@ -20,31 +20,31 @@
         this.bounds = bounds;
     }
 
-    /** The open job of an id, or null. */
-    OpenJob get(String id) {
+    /** Returns the open job with an id, or null. */
+    OpenJob find(String id) {
         return byId.get(id);
     }
 
-    /** The open job under a unique key, or null. */
-    OpenJob ofUnique(String unique) {
-        return byUnique.get(unique);
+    /** Returns the open job under a unique key, or null. */
+    OpenJob findByUniqueKey(String uniqueKey) {
+        return byUniqueKey.get(uniqueKey);
     }
 
-    /** Open jobs under unique keys. */
-    int uniques() {
-        return byUnique.size();
+    /** Returns the number of open jobs that have a unique key. */
+    int uniqueKeyCount() {
+        return byUniqueKey.size();
     }
 
     int size() {
         return byId.size();
     }
 
-    /** The open jobs as they are now; jobs may end while the list is gone through. */
-    List<OpenJob> all() {
+    /** Returns a copy of the open jobs; jobs may end while the caller iterates over it. */
+    List<OpenJob> snapshot() {
         return List.copyOf(byId.values());
     }
 
-    /** The open jobs themselves, for a look that ends none. */
+    /** Returns a live view of the open jobs; no job may end while the caller iterates over it. */
     Collection<OpenJob> view() {
         return byId.values();
     }
@@ -53,35 +53,35 @@
         return counts;
     }
 
-    /** Whether there is a place for one more job with a body of so many bytes. */
-    boolean hasRoom(long bodyBytes) {
-        return byId.size() < bounds.openJobs() && heldBytes + ENTRY_BYTES + bodyBytes <= bounds.bodyBytes();
+    /** Returns whether the bounds allow one more job with a body of the given size. */
+    boolean hasCapacity(long bodyBytes) {
+        return byId.size() < bounds.openJobs() && heldBytes + ENTRY_OVERHEAD_BYTES + bodyBytes <= bounds.bodyBytes();
     }
 
-    /** Whether there is a place for a job as it was handed in. */
-    boolean hasRoom(JobRequest request) {
-        return hasRoom(bytes(request) - ENTRY_BYTES);
+    /** Returns whether the bounds allow this job. */
+    boolean hasCapacity(JobRequest spec) {
+        return hasCapacity(sizeBytes(spec) - ENTRY_OVERHEAD_BYTES);
     }
 
     void add(OpenJob job) {
-        byId.put(job.sheet.id(), job);
-        heldBytes += bytes(job.sheet);
-        counts.taken(job);
-        if (job.sheet.unique() != null) {
-            byUnique.put(job.sheet.unique(), job);
+        byId.put(job.spec.id(), job);
+        heldBytes += sizeBytes(job.spec);
+        counts.added(job);
+        if (job.spec.unique() != null) {
+            byUniqueKey.put(job.spec.unique(), job);
         }
     }
 
     void remove(OpenJob job) {
-        counts.closed(job);
-        byId.remove(job.sheet.id());
-        heldBytes -= bytes(job.sheet);
-        if (job.sheet.unique() != null) {
-            byUnique.remove(job.sheet.unique());
+        counts.removed(job);
+        byId.remove(job.spec.id());
+        heldBytes -= sizeBytes(job.spec);
+        if (job.spec.unique() != null) {
+            byUniqueKey.remove(job.spec.unique());
         }
     }
 
-    private static long bytes(JobRequest request) {
-        return ENTRY_BYTES + request.fields().length() + request.body().remaining();
+    private static long sizeBytes(JobRequest spec) {
+        return ENTRY_OVERHEAD_BYTES + spec.fields().length() + spec.body().remaining();
     }
 }
--- a/src/main/java/plumpost/dispatch/KeptOutcomes.java
+++ b/src/main/java/plumpost/dispatch/KeptOutcomes.java
@@ -7,58 +7,67 @@
 import plumpost.time.Clock;
 
 /**
- * Outcomes of jobs with a unique key, kept for resubmits: bounded in number and bytes, and none is dropped before its
- * time. While there is no room, new jobs with such a key are refused; that is harmless, forgetting a run is not.
+ * Outcomes of jobs with a unique key, kept for resubmissions, bounded in number and bytes. None is dropped before it
+ * expires: while there is no capacity, new jobs with a key are refused, which is harmless, whereas a forgotten run could
+ * be repeated.
  */
 final class KeptOutcomes {
-    /** How a job ended that may have run: its result, or null where it failed. */
-    record Outcome(String unique, ByteBuffer result, double until) {}
+    /** Memory that a kept outcome uses besides its key and result. */
+    private static final long ENTRY_OVERHEAD_BYTES = 200;
+
+    /** Outcome of a job that may have run: its result, or null if it failed. */
+    record Outcome(String uniqueKey, ByteBuffer result, double expiresAtMs) {}
 
     private final Clock clock;
-    private final int most;
-    private final long mostBytes;
-    private final Map<String, Outcome> byUnique = new HashMap<>();
-    private final PriorityQueue<Outcome> byTime = new PriorityQueue<>((a, b) -> Double.compare(a.until(), b.until()));
+    private final int maxCount;
+    private final long maxBytes;
+    private final Map<String, Outcome> byUniqueKey = new HashMap<>();
+    private final PriorityQueue<Outcome> byExpiry =
+            new PriorityQueue<>((a, b) -> Double.compare(a.expiresAtMs(), b.expiresAtMs()));
     private long bytes;
 
-    KeptOutcomes(Clock clock, int most, long mostBytes) {
+    KeptOutcomes(Clock clock, int maxCount, long maxBytes) {
         this.clock = clock;
-        this.most = most;
-        this.mostBytes = mostBytes;
+        this.maxCount = maxCount;
+        this.maxBytes = maxBytes;
     }
 
-    boolean hasRoom(int open) {
+    boolean hasCapacity(int openCount) {
         expire();
-        return byUnique.size() + open < most && bytes < mostBytes;
+        return byUniqueKey.size() + openCount < maxCount && bytes < maxBytes;
     }
 
-    void keep(String unique, ByteBuffer result, double forMs) {
+    void keep(String uniqueKey, ByteBuffer result, double forMs) {
         expire();
-        Outcome kept = new Outcome(unique, result, clock.nowMs() + forMs);
-        Outcome old = byUnique.put(unique, kept);
-        if (old != null) {
-            byTime.remove(old);
-            bytes -= size(old);
+        Outcome outcome = new Outcome(uniqueKey, result, clock.nowMs() + forMs);
+        Outcome previous = byUniqueKey.put(uniqueKey, outcome);
+        if (previous != null) {
+            byExpiry.remove(previous);
+            bytes -= sizeBytes(previous);
         }
-        byTime.add(kept);
-        bytes += size(kept);
+        byExpiry.add(outcome);
+        bytes += sizeBytes(outcome);
     }
 
-    Outcome of(String unique) {
+    Outcome find(String uniqueKey) {
         expire();
-        return byUnique.get(unique);
+        return byUniqueKey.get(uniqueKey);
     }
 
     private void expire() {
-        double now = clock.nowMs();
-        for (Outcome o = byTime.peek(); o != null && o.until() <= now; o = byTime.peek()) {
-            byTime.poll();
-            byUnique.remove(o.unique(), o);
-            bytes -= size(o);
+        double nowMs = clock.nowMs();
+        for (Outcome outcome = byExpiry.peek();
+                outcome != null && outcome.expiresAtMs() <= nowMs;
+                outcome = byExpiry.peek()) {
+            byExpiry.poll();
+            byUniqueKey.remove(outcome.uniqueKey(), outcome);
+            bytes -= sizeBytes(outcome);
         }
     }
 
-    private static long size(Outcome o) {
-        return 200 + o.unique().length() + (o.result() == null ? 0 : o.result().remaining());
+    private static long sizeBytes(Outcome outcome) {
+        return ENTRY_OVERHEAD_BYTES
+                + outcome.uniqueKey().length()
+                + (outcome.result() == null ? 0 : outcome.result().remaining());
     }
 }
--- a/src/main/java/plumpost/dispatch/OpenJob.java
+++ b/src/main/java/plumpost/dispatch/OpenJob.java
@@ -7,101 +7,110 @@
 import plumpost.decision.Dispatcher.WorkerEntry;
 import plumpost.time.TimerWheel;
 
-/** A job in the ledger, from its taking to its final answer. */
+/** A job in the ledger, from its submission to its final answer. */
 public final class OpenJob {
-    final JobRequest sheet;
-    final JobClass cls;
-    final double deadline;
+    final JobRequest spec;
+    final JobClass jobClass;
+    final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>(2);
-    final List<ReplyTo> waiting = new ArrayList<>(1);
+    final List<ReplyTo> recipients = new ArrayList<>(1);
     boolean answered;
-    /** Nobody waits for it any more. */
+    /** Whether it was closed because all its clients have left. */
     boolean abandoned;
 
-    TimerWheel.Timer giveUp;
-    double share;
-    boolean tallied;
+    TimerWheel.Timer deadlineTimer;
+    /** The share that is done, as last reported. */
+    double progress;
+
+    /** Whether {@link OpenJobCounts} counts it as running. */
+    boolean countedAsRunning;
+
+    /** The result received in parts, or null before the first part. */
     ResultStream stream;
-    Attempt teller;
-    ByteBuffer words;
-    /** Null where nothing but this scheduler decides on handing it out. */
-    final LeaseAuthority rights;
-
-    OpenJob(JobRequest sheet, JobClass cls, double deadline, LeaseAuthority rights) {
-        this.rights = rights;
-        this.sheet = sheet;
-        this.cls = cls;
-        this.deadline = deadline;
+
+    /** The attempt that sent the last part of the result. */
+    Attempt streamingAttempt;
+
+    /** The reason that a node last gave for a failure, or null. */
+    ByteBuffer failureText;
+    /** Authority that must grant a lease before it is handed out, or null if this scheduler decides alone. */
+    final LeaseAuthority leaseAuthority;
+
+    OpenJob(JobRequest spec, JobClass jobClass, double deadlineMs, LeaseAuthority leaseAuthority) {
+        this.leaseAuthority = leaseAuthority;
+        this.spec = spec;
+        this.jobClass = jobClass;
+        this.deadlineMs = deadlineMs;
     }
 
-    /** The attempt that is still out, or null. */
-    Attempt out() {
+    /** Returns the attempt that has not ended, or null. */
+    Attempt outstandingAttempt() {
         Attempt last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
         return last != null && last.ending == null ? last : null;
     }
 
     boolean mayHaveRun() {
-        return first() != null;
+        return firstPossibleRun() != null;
     }
 
-    /** The first attempt that may have run, or null. */
-    private Attempt first() {
-        for (Attempt a : attempts) {
-            if (a.ending == null ? !a.held : !a.ending.neverRan()) {
-                return a;
+    /** Returns the first attempt that may have run, or null. */
+    private Attempt firstPossibleRun() {
+        for (Attempt attempt : attempts) {
+            if (attempt.ending == null ? !attempt.awaitingLease : !attempt.ending.neverRan()) {
+                return attempt;
             }
         }
         return null;
     }
 
     /**
-     * Whether an attempt may go to a node: none before it may have run, or a repeat is harmless, always or within a time
-     * from the first on the nodes that drop it.
+     * Returns whether an attempt may go to a node: no earlier attempt may have run, or a repeat is harmless, either
+     * always or, for a guarded class, within its window on the nodes that discard duplicates of the first attempt.
      */
-    boolean mayRepeat(Attempt attempt, WorkerEntry to, double now) {
-        Attempt first = first();
+    boolean mayRepeat(Attempt attempt, WorkerEntry target, double nowMs) {
+        Attempt first = firstPossibleRun();
         return first == null
                 || first == attempt
-                || switch (cls.effect()) {
+                || switch (jobClass.effect()) {
                     case FREE -> true;
                     case SINGLE_SHOT -> false;
                     case GUARDED ->
-                        now < first.sentAt + cls.windowMs()
-                                && switch (cls.scope()) {
+                        nowMs < first.sentAtMs + jobClass.windowMs()
+                                && switch (jobClass.scope()) {
                                     case ALL -> true;
-                                    case ZONE -> first.on.zone() == to.zone();
-                                    case CELL -> first.on.cell() == to.cell();
+                                    case ZONE -> first.workerEntry.zone() == target.zone();
+                                    case CELL -> first.workerEntry.cell() == target.cell();
                                 };
                 };
     }
 
-    /** The job as it was handed in. */
+    /** Returns the job as it was submitted. */
     public JobRequest sheet() {
-        return sheet;
+        return spec;
     }
 
-    /** True while an attempt is out. */
+    /** Returns whether an attempt is outstanding. */
     public boolean running() {
-        return out() != null;
+        return outstandingAttempt() != null;
     }
 
-    /** True where nobody waits for its answer. */
+    /** Returns whether no client waits for its answer. */
     public boolean background() {
-        return waiting.stream().noneMatch(ReplyTo::waits);
+        return recipients.stream().noneMatch(ReplyTo::waits);
     }
 
-    /** How many attempts it has had. */
+    /** Returns the number of attempts made so far. */
     public int tries() {
         return attempts.size();
     }
 
-    /** How many wait for its answer. */
+    /** Returns the number of reply handlers that get its answer. */
     public int clients() {
-        return waiting.size();
+        return recipients.size();
     }
 
-    /** The share that is done, as last told. */
+    /** Returns the share that is done, as last reported. */
     public double share() {
-        return share;
+        return progress;
     }
 }
--- a/src/main/java/plumpost/dispatch/OpenJobCounts.java
+++ b/src/main/java/plumpost/dispatch/OpenJobCounts.java
@@ -3,66 +3,66 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts open jobs by kind of work, kept as jobs come, run and go, so that reading them costs nothing. */
+/** Counts open jobs by kind of work; updated on every change, so that reading a count takes constant time. */
 public final class OpenJobCounts {
-    /** Open jobs of one kind of work: all, those that a node has, and those that wait by priority. */
+    /** Counts for one kind of work: all open jobs, the running ones, and the waiting ones by priority. */
     public static final class Tally {
         private long open;
         private long running;
         private final long[] waiting = new long[3];
 
-        /** Jobs that still owe an answer. */
+        /** Returns the number of jobs without a final answer. */
         public long open() {
             return open;
         }
 
-        /** Those of them that a node has. */
+        /** Returns how many of the open jobs have an outstanding attempt. */
         public long running() {
             return running;
         }
 
-        /** Those that wait for a node, by priority: above 0, 0 or below. */
+        /** Returns how many wait for a node with a priority of the given sign: above 0, 0 or below. */
         public long waiting(int priority) {
             return waiting[1 - Integer.signum(priority)];
         }
     }
 
-    private final List<Tally> all = new ArrayList<>();
+    private final List<Tally> byKind = new ArrayList<>();
 
-    /** The counts of a kind of work; all 0 where none was ever seen. */
-    public Tally of(int kind) {
-        while (all.size() <= kind) {
-            all.add(new Tally());
+    /** Returns the live counts of a kind of work; all are 0 if it never had a job. */
+    public Tally forKind(int kind) {
+        while (byKind.size() <= kind) {
+            byKind.add(new Tally());
         }
-        return all.get(kind);
+        return byKind.get(kind);
     }
 
-    void taken(OpenJob e) {
-        Tally t = of(e.sheet.work().kind());
-        t.open++;
-        t.waiting[slot(e)]++;
+    void added(OpenJob job) {
+        Tally tally = forKind(job.spec.work().kind());
+        tally.open++;
+        tally.waiting[priorityIndex(job)]++;
     }
 
-    void moved(OpenJob e, boolean running) {
-        if (e.tallied != running && !e.answered) {
-            e.tallied = running;
-            Tally t = of(e.sheet.work().kind());
-            t.running += running ? 1 : -1;
-            t.waiting[slot(e)] += running ? -1 : 1;
+    void setRunning(OpenJob job, boolean running) {
+        if (job.countedAsRunning != running && !job.answered) {
+            job.countedAsRunning = running;
+            Tally tally = forKind(job.spec.work().kind());
+            tally.running += running ? 1 : -1;
+            tally.waiting[priorityIndex(job)] += running ? -1 : 1;
         }
     }
 
-    void closed(OpenJob e) {
-        Tally t = of(e.sheet.work().kind());
-        t.open--;
-        if (e.tallied) {
-            t.running--;
+    void removed(OpenJob job) {
+        Tally tally = forKind(job.spec.work().kind());
+        tally.open--;
+        if (job.countedAsRunning) {
+            tally.running--;
         } else {
-            t.waiting[slot(e)]--;
+            tally.waiting[priorityIndex(job)]--;
         }
     }
 
-    private static int slot(OpenJob e) {
-        return 1 - Integer.signum(e.sheet.work().priority());
+    private static int priorityIndex(OpenJob job) {
+        return 1 - Integer.signum(job.spec.work().priority());
     }
 }
--- a/src/main/java/plumpost/dispatch/ResultStream.java
+++ b/src/main/java/plumpost/dispatch/ResultStream.java
@@ -4,63 +4,63 @@
 import java.util.Arrays;
 
 /**
- * A result that comes in parts, over one or more attempts. Who waits is told each part once: a further attempt has to
- * tell the same bytes again before it may go on, so two attempts' parts are never mixed. Bounded in bytes.
+ * A result that arrives in parts, over one or more attempts, bounded in bytes. Clients get each part once: a further
+ * attempt has to repeat the same bytes before it may continue, so that parts of two attempts are never mixed.
  */
 final class ResultStream {
-    private final int most;
-    private byte[] told = new byte[0];
+    private final int maxBytes;
+    private byte[] bytes = new byte[0];
     private int size;
-    private int at;
+    private int position;
 
-    ResultStream(int most) {
-        this.most = most;
+    ResultStream(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** A further attempt begins to tell the result from its start. */
-    void again() {
-        at = 0;
+    /** Starts over at the first byte because a further attempt repeats the result. */
+    void restart() {
+        position = 0;
     }
 
-    /** True once anything was told. */
-    boolean begun() {
+    /** Returns whether any bytes have been received. */
+    boolean isStarted() {
         return size > 0;
     }
 
-    /** What was told so far. */
-    ByteBuffer all() {
-        return ByteBuffer.wrap(told, 0, size).asReadOnlyBuffer();
+    /** Returns the bytes received so far. */
+    ByteBuffer content() {
+        return ByteBuffer.wrap(bytes, 0, size).asReadOnlyBuffer();
     }
 
     /**
-     * Takes the next part of the present attempt. Returns what is new in it, which may be nothing; null where it is
-     * too much, or not what an earlier attempt had told at this place.
+     * Appends the next part of the current attempt. Returns the bytes in it that are new, possibly none, or null if the
+     * result becomes too long or differs from what an earlier attempt sent at this position.
      */
-    ByteBuffer add(ByteBuffer part) {
-        ByteBuffer p = part.duplicate();
-        for (; at < size && p.hasRemaining(); at++) {
-            if (p.get() != told[at]) {
+    ByteBuffer append(ByteBuffer part) {
+        ByteBuffer remaining = part.duplicate();
+        for (; position < size && remaining.hasRemaining(); position++) {
+            if (remaining.get() != bytes[position]) {
                 return null;
             }
         }
-        if (p.remaining() > most - size) {
+        if (remaining.remaining() > maxBytes - size) {
             return null;
         }
-        ByteBuffer fresh = p.duplicate();
-        if (p.hasRemaining()) {
-            int n = p.remaining();
-            if (size + n > told.length) {
-                told = Arrays.copyOf(told, Math.min(most, Math.max(size + n, 2 * told.length)));
+        ByteBuffer added = remaining.duplicate();
+        if (remaining.hasRemaining()) {
+            int count = remaining.remaining();
+            if (size + count > bytes.length) {
+                bytes = Arrays.copyOf(bytes, Math.min(maxBytes, Math.max(size + count, 2 * bytes.length)));
             }
-            p.get(told, size, n);
-            size += n;
-            at = size;
+            remaining.get(bytes, size, count);
+            size += count;
+            position = size;
         }
-        return fresh;
+        return added;
     }
 
-    /** True where the present attempt has told all that was told before. */
-    boolean caughtUp() {
-        return at == size;
+    /** Returns whether the current attempt has sent everything that earlier attempts sent. */
+    boolean hasCaughtUp() {
+        return position == size;
     }
 }
--- a/src/main/java/plumpost/dispatch/RuleGuard.java
+++ b/src/main/java/plumpost/dispatch/RuleGuard.java
@@ -7,37 +7,37 @@
 import plumpost.time.HoldUp;
 
 /**
- * The rules that hold whatever the module or a front asks for, in one place: whether an attempt may begin or be repeated, a job
- * be refused, a connection be closed, and the process end. Each time it has to step in is counted as {@code guard.NAME} and
- * logged with the job's id; in service all of these stay at 0.
+ * Enforces the rules that hold whatever the module or a front requests: when an attempt may start or be repeated, a job be
+ * refused, a connection be closed and the process end. Each violation is counted as {@code guard.NAME} and logged with the
+ * job's id; in normal operation all of these counters stay at 0.
  */
 final class RuleGuard {
-    /** Attempts that may be out on a worker still cold, whatever the module says: a last guard against a flood. */
-    private static final int MOST_OUT_WHEN_COLD = 4;
+    /** Attempts that may be outstanding on a cold worker whatever the module requests, to protect it from overload. */
+    private static final int MAX_OUTSTANDING_WHEN_COLD = 4;
 
-    /** A rule that something asked for would have broken. */
+    /** A rule that a requested action would break. */
     enum Violation {
         /** An attempt for a job that has its final answer. */
         OVER,
-        /** An attempt on a worker that drains, is gone, is out by hand or does not run the class. */
+        /** An attempt on a worker that drains, is gone, is banned or does not run the kind of work. */
         DRAIN,
-        /** An attempt beside another one of the same job. */
+        /** An attempt while another one of the same job is outstanding. */
         SECOND_COPY,
         /** More attempts than the settings allow. */
         ATTEMPTS,
-        /** A repeat of what may have run, where a repeat is not harmless. */
+        /** A repeat of a job that may have run, where a repeat is not harmless. */
         REPEAT,
-        /** An attempt for a job whose client has given up. */
+        /** An attempt for a job whose deadline has passed. */
         LATE,
-        /** More attempts than a cold worker may hold. */
+        /** More outstanding attempts than a cold worker may have. */
         COLD,
         /** A refusal of an order that may have run. */
         REFUSAL,
-        /** A job without an answer after its time. */
+        /** A job without an answer after its deadline. */
         UNANSWERED,
-        /** A connection closed by this process before the answer of its open job. */
+        /** A connection that this process closed before it answered its open job. */
         CLOSED,
-        /** The process ends while a job has no answer. */
+        /** The end of the process while a job has no answer. */
         ENDED
     }
 
@@ -49,50 +49,51 @@
         this.log = log;
     }
 
-    /** The rule that an attempt for an open job on a worker would break now, or null. */
-    Violation attempt(OpenJob job, WorkerRegistry.Node worker, boolean banned, Terms terms, double nowMs) {
+    /** Returns the rule that an attempt for an open job on a worker would break now, or null. */
+    Violation findViolation(OpenJob job, WorkerRegistry.Node worker, boolean banned, Limits limits, double nowMs) {
         if (worker == null
-                || !worker.serving()
+                || !worker.isServing()
                 || banned
-                || !worker.line.entry().does(job.sheet.work().kind(), terms.classes())) {
+                || !worker.listing.entry().does(job.spec.work().kind(), limits.classes())) {
             return Violation.DRAIN;
         }
-        if (job.out() != null) {
+        if (job.outstandingAttempt() != null) {
             return Violation.SECOND_COPY;
         }
-        if (job.attempts.size() >= terms.maxAttempts()) {
+        if (job.attempts.size() >= limits.maxAttempts()) {
             return Violation.ATTEMPTS;
         }
-        if (!job.mayRepeat(null, worker.line.entry(), nowMs)) {
+        if (!job.mayRepeat(null, worker.listing.entry(), nowMs)) {
             return Violation.REPEAT;
         }
-        if (nowMs >= job.deadline) {
+        if (nowMs >= job.deadlineMs) {
             return Violation.LATE;
         }
-        return cold(worker, terms, nowMs) && worker.out >= MOST_OUT_WHEN_COLD ? Violation.COLD : null;
+        return isCold(worker, limits, nowMs) && worker.outstanding >= MAX_OUTSTANDING_WHEN_COLD ? Violation.COLD : null;
     }
 
-    /** What of the settings in force the rules depend on. */
-    record Terms(int classes, int maxAttempts, double coldMs) {}
+    /** The settings in force on which the rules depend. */
+    record Limits(int classes, int maxAttempts, double coldMs) {}
 
-    private static boolean cold(WorkerRegistry.Node worker, Terms terms, double nowMs) {
-        double startedAt = worker.line.entry().cameUpMs();
-        return startedAt > 0 && nowMs - startedAt < terms.coldMs();
+    private static boolean isCold(WorkerRegistry.Node worker, Limits limits, double nowMs) {
+        double startedAt = worker.listing.entry().cameUpMs();
+        return startedAt > 0 && nowMs - startedAt < limits.coldMs();
     }
 
-    /** Whether a job may be refused: its client may then send it again anywhere. */
+    /** Returns whether a job may be refused, after which its client may send it again anywhere. */
     boolean mayRefuse(OpenJob job) {
-        return !job.mayHaveRun() || job.cls.effect() == Effect.FREE;
+        return !job.mayHaveRun() || job.jobClass.effect() == Effect.FREE;
     }
 
     /**
-     * Whether so little time is left to the client that an attempt might begin after it has left, if the process is held up.
+     * Returns whether so little time is left to the client that an attempt could start too long after it has left if the
+     * process is held up.
      */
     static boolean tooLittleLeft(double leftMs) {
         return leftMs < HoldUp.LEAST_LEFT_MS;
     }
 
-    /** Counts and logs a rule that would have been broken, or was. */
+    /** Counts and logs a violation, whether it was prevented or has happened. */
     void report(Violation violation, String jobId, String detail) {
         String name = violation.name().toLowerCase(Locale.ROOT);
         counters.count("guard." + name);
--- a/src/main/java/plumpost/dispatch/WorkerRegistry.java
+++ b/src/main/java/plumpost/dispatch/WorkerRegistry.java
@@ -11,18 +11,18 @@
 import plumpost.decision.Dispatcher.WorkerEntry;
 
 /**
- * The route nodes as their lists told them, with the operators' bans over them: which nodes may get something new,
- * and what the module is to be told of each. No I/O; the core tells the module what this returns.
+ * The route nodes as their lists gave them, combined with the operators' bans: which nodes may get new attempts, and the
+ * entry of each for the module. It does no I/O; the core passes the returned entries to the module.
  */
 final class WorkerRegistry {
-    /** One listed node, the list that named it, and the attempts out on it. */
+    /** One listed node, the list that named it, and the number of its outstanding attempts. */
     static final class Node {
-        ListedNode line;
+        ListedNode listing;
         NodeList source;
-        int out;
+        int outstanding;
 
-        boolean serving() {
-            return line.entry().phase() == Phase.SERVING;
+        boolean isServing() {
+            return listing.entry().phase() == Phase.SERVING;
         }
     }
 
@@ -34,124 +34,124 @@
         lists.add(list);
     }
 
-    /** Asks every list to watch. */
-    void watch() {
+    /** Asks every list to watch its source for changes. */
+    void subscribe() {
         lists.forEach(NodeList::watch);
     }
 
-    Node get(String id) {
+    Node find(String id) {
         return nodes.get(id);
     }
 
-    /** Listed, serving and not out by hand. */
-    boolean serving(String id) {
-        Node n = nodes.get(id);
-        return n != null && n.serving() && !bans.out(id);
+    /** Returns whether a node is listed, serving and not banned. */
+    boolean isServing(String id) {
+        Node node = nodes.get(id);
+        return node != null && node.isServing() && !bans.isBanned(id);
     }
 
-    boolean banned(String id) {
-        return bans.out(id);
+    boolean isBanned(String id) {
+        return bans.isBanned(id);
     }
 
-    int size() {
+    int listedCount() {
         return nodes.size();
     }
 
-    /** Listed nodes that are out by hand. */
-    int bannedListed() {
-        int out = 0;
+    /** Returns the number of listed nodes that are banned. */
+    int countBannedListed() {
+        int count = 0;
         for (String id : nodes.keySet()) {
-            out += bans.out(id) ? 1 : 0;
+            count += bans.isBanned(id) ? 1 : 0;
         }
-        return out;
+        return count;
     }
 
     /**
-     * Takes what a list tells, and returns the lines for the module. A complete list replaces this source's nodes
-     * only, and the module hears of the other sources' ones again; a node that is gone has its link left.
+     * Applies an update of a list and returns the entries for the module. A complete list replaces only this source's
+     * nodes, so the entries of the other sources are repeated in the result; the link of a removed node is closed.
      */
-    List<WorkerEntry> listed(NodeList source, ListMode mode, Collection<ListedNode> lines) {
-        List<WorkerEntry> told = new ArrayList<>();
+    List<WorkerEntry> applyList(NodeList source, ListMode mode, Collection<ListedNode> lines) {
+        List<WorkerEntry> entries = new ArrayList<>();
         if (mode == ListMode.FULL || mode == ListMode.SAVED) {
-            Map<String, ListedNode> named = new HashMap<>();
-            lines.forEach(l -> named.put(l.entry().id(), l));
-            for (Node n : List.copyOf(nodes.values())) {
-                if (n.source != source) {
-                    told.add(shown(n.line.entry()));
-                } else if (!named.containsKey(n.line.entry().id())) {
-                    drop(n);
+            Map<String, ListedNode> listedById = new HashMap<>();
+            lines.forEach(listing -> listedById.put(listing.entry().id(), listing));
+            for (Node node : List.copyOf(nodes.values())) {
+                if (node.source != source) {
+                    entries.add(effectiveEntry(node.listing.entry()));
+                } else if (!listedById.containsKey(node.listing.entry().id())) {
+                    drop(node);
                 }
             }
         }
-        for (ListedNode l : lines) {
-            WorkerEntry e = l.entry();
-            Node n = nodes.computeIfAbsent(e.id(), id -> new Node());
-            NodeLink old = n.line == null ? null : n.line.link();
-            n.line = l;
-            n.source = source;
-            if (old != null && old != l.link()) {
-                old.leave();
+        for (ListedNode listing : lines) {
+            WorkerEntry entry = listing.entry();
+            Node node = nodes.computeIfAbsent(entry.id(), id -> new Node());
+            NodeLink previousLink = node.listing == null ? null : node.listing.link();
+            node.listing = listing;
+            node.source = source;
+            if (previousLink != null && previousLink != listing.link()) {
+                previousLink.leave();
             }
-            if (e.phase() == Phase.DELETED) {
-                drop(n);
+            if (entry.phase() == Phase.DELETED) {
+                drop(node);
             } else {
-                bans.saw(e.id());
+                bans.recordListed(entry.id());
             }
-            told.add(shown(e));
+            entries.add(effectiveEntry(entry));
         }
-        return told;
+        return entries;
     }
 
-    private void drop(Node n) {
-        nodes.remove(n.line.entry().id());
-        n.line.link().leave();
+    private void drop(Node node) {
+        nodes.remove(node.listing.entry().id());
+        node.listing.link().leave();
     }
 
-    boolean known(String id) {
-        return bans.known(id);
+    boolean isKnown(String id) {
+        return bans.isKnown(id);
     }
 
-    /** Others have had the node listed. */
-    void knows(String id) {
-        bans.saw(id);
+    /** Remembers a node that is named outside the lists in use. */
+    void remember(String id) {
+        bans.recordListed(id);
     }
 
     Bans.Said ban(String id) {
         return bans.ban(id);
     }
 
-    Bans.Said lift(String id) {
-        return bans.lift(id);
+    Bans.Said unban(String id) {
+        return bans.unban(id);
     }
 
     String bansText() {
         return bans.text();
     }
 
-    /** Takes over handed-over bans; returns the ids whose state changed. */
+    /** Replaces the bans by handed-over ones; returns the ids whose state changed. */
     List<String> adopt(String text) {
         return bans.adopt(text);
     }
 
-    /** The line of a listed node as the module is to see it now, or null where it is not listed. */
-    WorkerEntry shown(String id) {
-        Node n = nodes.get(id);
-        return n == null ? null : shown(n.line.entry());
+    /** Returns the entry of a listed node as the module is to see it now, or null if it is not listed. */
+    WorkerEntry effectiveEntry(String id) {
+        Node node = nodes.get(id);
+        return node == null ? null : effectiveEntry(node.listing.entry());
     }
 
-    /** A node out by hand drains, whatever its list says. */
-    private WorkerEntry shown(WorkerEntry e) {
-        return e.phase() != Phase.SERVING || !bans.out(e.id())
-                ? e
+    /** Shows a banned node that its list reports as serving as draining. */
+    private WorkerEntry effectiveEntry(WorkerEntry entry) {
+        return entry.phase() != Phase.SERVING || !bans.isBanned(entry.id())
+                ? entry
                 : new WorkerEntry(
-                        e.id(),
-                        e.zone(),
-                        e.kind(),
-                        e.cell(),
+                        entry.id(),
+                        entry.zone(),
+                        entry.kind(),
+                        entry.cell(),
                         Phase.DRAINING,
-                        e.units(),
-                        e.cameUpMs(),
-                        e.runs(),
-                        e.places());
+                        entry.units(),
+                        entry.cameUpMs(),
+                        entry.runs(),
+                        entry.places());
     }
 }
--- a/src/test/java/plumpost/dispatch/BansTest.java
+++ b/src/test/java/plumpost/dispatch/BansTest.java
@@ -7,53 +7,54 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The operators' bans alone: what each call says, what is handed over, and that memory stays bounded. */
+/** Tests the results of ban calls, the hand-over of bans and the bound on remembered ids. */
 class BansTest {
 
-    /** Guards the operators' words: unknown is a no, out twice is once, one call back undoes it. */
+    /** An unknown node is rejected, a second ban changes nothing, and one call lifts the ban. */
     @Test
-    void callsOutAndBack() {
-        Bans b = new Bans();
-        assertThat(b.ban("w1")).isEqualTo(Bans.Said.UNKNOWN);
-        assertThat(b.lift("w1")).isEqualTo(Bans.Said.UNKNOWN);
-        b.saw("w1");
-        assertThat(b.ban("w1")).isEqualTo(Bans.Said.CHANGED);
-        assertThat(b.ban("w1")).isEqualTo(Bans.Said.SAME);
-        assertThat(b.out("w1")).isTrue();
-        assertThat(b.lift("w1")).isEqualTo(Bans.Said.CHANGED);
-        assertThat(b.out("w1")).isFalse();
-        assertThat(b.lift("w1")).isEqualTo(Bans.Said.SAME);
+    void banAndUnbanReportWhatChanged() {
+        Bans bans = new Bans();
+        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.UNKNOWN);
+        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.UNKNOWN);
+        bans.recordListed("w1");
+        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.CHANGED);
+        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.SAME);
+        assertThat(bans.isBanned("w1")).isTrue();
+        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.CHANGED);
+        assertThat(bans.isBanned("w1")).isFalse();
+        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.SAME);
     }
 
-    /** Guards the upgrade: what one process wrote is what the other takes, and a node banned there is known here. */
+    /** At an upgrade the new process takes over exactly the bans that the old one wrote, and knows their nodes. */
     @Test
-    void handedOverTextIsTakenWhole() {
-        Bans old = new Bans();
-        old.saw("w2");
-        old.saw("w1");
-        old.ban("w2");
-        old.ban("w1");
-        assertThat(old.text()).isEqualTo("w1\nw2\n");
-        Bans fresh = new Bans();
-        fresh.saw("w3");
-        fresh.ban("w3");
-        assertThat(fresh.adopt(old.text())).containsExactlyInAnyOrder("w1", "w2", "w3");
-        assertThat(fresh.out("w3")).isFalse();
-        assertThat(fresh.lift("w1")).isEqualTo(Bans.Said.CHANGED);
-        assertThat(fresh.adopt("w1\n\n  spaced  \n" + "x".repeat(300) + "\n")).containsExactlyInAnyOrder("w1", "w2");
-        assertThat(fresh.size()).isEqualTo(1);
+    void adoptReplacesBansAndReturnsChangedIds() {
+        Bans previous = new Bans();
+        previous.recordListed("w2");
+        previous.recordListed("w1");
+        previous.ban("w2");
+        previous.ban("w1");
+        assertThat(previous.text()).isEqualTo("w1\nw2\n");
+        Bans restarted = new Bans();
+        restarted.recordListed("w3");
+        restarted.ban("w3");
+        assertThat(restarted.adopt(previous.text())).containsExactlyInAnyOrder("w1", "w2", "w3");
+        assertThat(restarted.isBanned("w3")).isFalse();
+        assertThat(restarted.unban("w1")).isEqualTo(Bans.Said.CHANGED);
+        assertThat(restarted.adopt("w1\n\n  spaced  \n" + "x".repeat(300) + "\n"))
+                .containsExactlyInAnyOrder("w1", "w2");
+        assertThat(restarted.bannedCount()).isEqualTo(1);
     }
 
-    /** Guards the memory against a list that churns: ids remembered stay bounded, the newest are kept. */
+    /** A node list that keeps changing must not exhaust memory: only the newest ids are remembered. */
     @Property(tries = 20, seed = "20")
-    void rememberedIdsStayBounded(@ForAll @IntRange(min = 1, max = 30_000) int listed) {
-        Bans b = new Bans();
+    void rememberedIdsAreBounded(@ForAll @IntRange(min = 1, max = 30_000) int listed) {
+        Bans bans = new Bans();
         for (int i = 0; i < listed; i++) {
-            b.saw("w" + i);
+            bans.recordListed("w" + i);
         }
-        assertThat(b.ban("w" + (listed - 1))).isEqualTo(Bans.Said.CHANGED);
-        if (listed > Bans.REMEMBERED) {
-            assertThat(b.ban("w0")).isEqualTo(Bans.Said.UNKNOWN);
+        assertThat(bans.ban("w" + (listed - 1))).isEqualTo(Bans.Said.CHANGED);
+        if (listed > Bans.MAX_REMEMBERED_IDS) {
+            assertThat(bans.ban("w0")).isEqualTo(Bans.Said.UNKNOWN);
         }
     }
 }
--- a/src/test/java/plumpost/dispatch/GuardsTest.java
+++ b/src/test/java/plumpost/dispatch/RuleGuardTest.java
@@ -19,18 +19,18 @@
 import plumpost.decision.Dispatcher.WorkerEntry;
 import plumpost.time.TimerWheel;
 
-/** The core's guards against a module that asks for what the rules forbid; each event is a chance to ask. */
-class GuardsTest {
-    private static final int PLAN = 0;
-    private static final int ORDER = 1;
+/** Tests that the core rejects actions that break a rule. The test requests them in place of the decision module. */
+class RuleGuardTest {
+    private static final int FREE_CLASS = 0;
+    private static final int SINGLE_SHOT_CLASS = 1;
 
     private final List<Attempt> sent = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final NodeList list = () -> {};
-    private double now = 1_000_000;
-    private final TimerWheel wheel = new TimerWheel(now);
-    private Dispatcher.Actions ask;
+    private final NodeList nodeList = () -> {};
+    private double nowMs = 1_000_000;
+    private final TimerWheel wheel = new TimerWheel(nowMs);
+    private Dispatcher.Actions moduleActions;
 
     private final NodeLink link = new NodeLink() {
         @Override
@@ -48,37 +48,48 @@
         public void leave() {}
     };
 
-    /** A core whose module does nothing by itself: the test asks in its place. */
-    private final DispatchCore room = new DispatchCore(
+    /** A core with a module that does nothing by itself. */
+    private final DispatchCore core = new DispatchCore(
             SettingsReader.settings(Json.object("settings", Scenario.SETTINGS.getBytes(StandardCharsets.UTF_8))),
-            () -> now,
+            () -> nowMs,
             wheel,
             counters,
             new DispatchCore.Bounds(5, 1 << 16, 2, 1 << 16),
-            words -> {},
+            line -> {},
             actions -> {
-                ask = actions;
+                moduleActions = actions;
                 return (Dispatcher) Proxy.newProxyInstance(
                         getClass().getClassLoader(),
                         new Class<?>[] {Dispatcher.class},
                         (proxy, method, arguments) -> null);
             });
 
-    private void node(Phase phase, double cameUp) {
-        room.listed(
-                list,
+    private void listNode(Phase phase, double startedAtMs) {
+        core.listed(
+                nodeList,
                 ListMode.INCREMENTAL,
-                List.of(new ListedNode(new WorkerEntry("n", 0, 0, 0, phase, 1, cameUp), link)));
+                List.of(new ListedNode(new WorkerEntry("n", 0, 0, 0, phase, 1, startedAtMs), link)));
     }
 
-    private void take(String id, int cls, String unique) {
-        take(id, cls, unique, null);
+    private void submit(String id, int classIndex, String uniqueKey) {
+        submit(id, classIndex, uniqueKey, null);
     }
 
-    private void take(String id, int cls, String unique, LeaseAuthority rights) {
-        room.take(
+    private void submit(String id, int classIndex, String uniqueKey, LeaseAuthority leaseAuthority) {
+        core.take(
                 new JobRequest(
-                        id, cls, null, ByteBuffer.allocate(1), 1000, Double.NaN, 1, Double.NaN, 0, null, false, unique),
+                        id,
+                        classIndex,
+                        null,
+                        ByteBuffer.allocate(1),
+                        1000,
+                        Double.NaN,
+                        1,
+                        Double.NaN,
+                        0,
+                        null,
+                        false,
+                        uniqueKey),
                 new ReplyTo() {
                     @Override
                     public void served(ByteBuffer result) {
@@ -95,88 +106,88 @@
                         answers.add(id + " failed");
                     }
                 },
-                rights);
+                leaseAuthority);
     }
 
-    /** What was asked for is carried out with the next event. */
+    /** Requests an attempt and triggers an event, as requested actions are carried out with the next event. */
     private void assign(String id) {
-        ask.assign(id, "n", 0);
-        room.listed(list, ListMode.FAILED, List.of());
+        moduleActions.assign(id, "n", 0);
+        core.listed(nodeList, ListMode.FAILED, List.of());
     }
 
     private void refuse(String id) {
-        ask.refuse(id, 0);
-        room.listed(list, ListMode.FAILED, List.of());
+        moduleActions.refuse(id, 0);
+        core.listed(nodeList, ListMode.FAILED, List.of());
     }
 
-    private void waitMs(double ms) {
-        now += ms;
-        wheel.turnTo(now);
+    private void advanceMs(double ms) {
+        nowMs += ms;
+        wheel.turnTo(nowMs);
     }
 
-    /** Guards: nothing to a node that drains, is gone, or was never listed. */
+    /** No attempt is sent to a node that drains, is gone or was never listed. */
     @Test
-    void nothingGoesToADrainedNode() {
-        take("a", PLAN, null);
+    void noAttemptGoesToANodeThatIsNotServing() {
+        submit("a", FREE_CLASS, null);
         assign("a");
-        node(Phase.DRAINING, 0);
+        listNode(Phase.DRAINING, 0);
         assign("a");
-        node(Phase.DELETED, 0);
+        listNode(Phase.DELETED, 0);
         assign("a");
         assertThat(sent).isEmpty();
         assertThat(counters.of("guard.drain")).isEqualTo(3);
     }
 
-    /** Guards the right to hand out: nothing is sent before it is granted, nor to a node that drained meanwhile. */
+    /** Nothing is sent before the lease is granted, nor after that to a node that has started to drain meanwhile. */
     @Test
-    void aJobUnderARightIsHeldBackUntilItIsGranted() {
-        List<java.util.function.Consumer<Boolean>> asked = new ArrayList<>();
-        List<String> said = new ArrayList<>();
-        LeaseAuthority rights = new LeaseAuthority() {
+    void jobIsNotSentBeforeItsLeaseIsGranted() {
+        List<java.util.function.Consumer<Boolean>> decisions = new ArrayList<>();
+        List<String> reports = new ArrayList<>();
+        LeaseAuthority leaseAuthority = new LeaseAuthority() {
             @Override
-            public void ask(Attempt a, java.util.function.Consumer<Boolean> then) {
-                asked.add(then);
+            public void ask(Attempt attempt, java.util.function.Consumer<Boolean> onDecision) {
+                decisions.add(onDecision);
             }
 
             @Override
-            public void unused(Attempt a) {
-                said.add(a.sheet().id() + " unused");
+            public void unused(Attempt attempt) {
+                reports.add(attempt.sheet().id() + " unused");
             }
 
             @Override
-            public void ended(Attempt a, boolean neverRan) {
-                said.add(a.sheet().id() + (neverRan ? " never ran" : " may have run"));
+            public void ended(Attempt attempt, boolean neverRan) {
+                reports.add(attempt.sheet().id() + (neverRan ? " never ran" : " may have run"));
             }
         };
-        node(Phase.SERVING, 0);
+        listNode(Phase.SERVING, 0);
         for (String id : List.of("a", "b", "c", "d")) {
-            take(id, ORDER, null, rights);
+            submit(id, SINGLE_SHOT_CLASS, null, leaseAuthority);
             assign(id);
         }
         assertThat(sent).isEmpty();
-        asked.get(0).accept(true);
+        decisions.get(0).accept(true);
         assertThat(sent).hasSize(1);
         sent.get(0).ended(Ending.FULL, null);
-        assertThat(said).containsExactly("a never ran");
-        asked.get(1).accept(false);
-        refuse("b"); // it never ran: refusing it is harmless
+        assertThat(reports).containsExactly("a never ran");
+        decisions.get(1).accept(false);
+        refuse("b"); // it never ran, so refusing it is harmless
         refuse("c");
-        asked.get(2).accept(true);
-        node(Phase.DRAINING, 0);
-        asked.get(3).accept(true);
+        decisions.get(2).accept(true);
+        listNode(Phase.DRAINING, 0);
+        decisions.get(3).accept(true);
         assertThat(sent)
-                .as("neither what was answered nor what would go to a drained node")
+                .as("neither the refused job nor the one for a draining node is sent")
                 .hasSize(1);
-        assertThat(said).containsExactly("a never ran", "c unused", "d unused");
+        assertThat(reports).containsExactly("a never ran", "c unused", "d unused");
         assertThat(answers).containsExactly("b refused", "c refused");
         assertThat(counters.of("guard.refusal")).isZero();
     }
 
-    /** Guards: one attempt out at a time, six at the most, none after the answer. */
+    /** A job has one outstanding attempt at a time, six at most in total and none after its answer. */
     @Test
-    void attemptsAreLimited() {
-        node(Phase.SERVING, 0);
-        take("a", PLAN, null);
+    void attemptsPerJobAreLimited() {
+        listNode(Phase.SERVING, 0);
+        submit("a", FREE_CLASS, null);
         assign("a");
         assign("a");
         assertThat(sent).hasSize(1);
@@ -185,25 +196,27 @@
             sent.get(sent.size() - 1).ended(Ending.FULL, null);
             assign("a");
         }
-        assertThat(sent).as("with the one that was not sent, six").hasSize(5);
+        assertThat(sent)
+                .as("five, and the rejected second copy counts as the sixth")
+                .hasSize(5);
         refuse("a");
         assign("a");
         assertThat(answers).containsExactly("a refused");
         assertThat(counters.of("guard.over")).isEqualTo(1);
     }
 
-    /** Guards: an order that may have run is neither sent again nor refused; one that never ran may be both. */
+    /** An order that may have run is neither sent again nor refused; one that never ran may be both. */
     @Test
-    void anOrderThatMayHaveRunIsNotRepeated() {
-        node(Phase.SERVING, 0);
-        take("a", ORDER, null);
+    void orderThatMayHaveRunIsNeitherRepeatedNorRefused() {
+        listNode(Phase.SERVING, 0);
+        submit("a", SINGLE_SHOT_CLASS, null);
         assign("a");
         sent.get(0).ended(Ending.CONNECT_FAILED, null);
         assign("a");
         sent.get(1).ended(Ending.RESET, null);
         assign("a");
         refuse("a");
-        take("b", ORDER, null);
+        submit("b", SINGLE_SHOT_CLASS, null);
         refuse("b");
         assertThat(sent).hasSize(2);
         assertThat(answers).containsExactly("a failed", "b refused");
@@ -211,42 +224,42 @@
         assertThat(counters.of("guard.refusal")).isEqualTo(1);
     }
 
-    /** Guards: a job that the module forgets is failed in time, and a late result answers nothing. */
+    /** A job that the module does not answer fails soon after its deadline, and a late result is ignored. */
     @Test
-    void whatTheModuleForgetsIsFailedInTime() {
-        node(Phase.SERVING, 0);
-        take("a", PLAN, null);
+    void jobForgottenByTheModuleFailsInTime() {
+        listNode(Phase.SERVING, 0);
+        submit("a", FREE_CLASS, null);
         assign("a");
-        waitMs(1000);
+        advanceMs(1000);
         assign("a");
-        waitMs(6);
+        advanceMs(6);
         sent.get(0).served(ByteBuffer.allocate(1), null);
         assertThat(sent).hasSize(1);
         assertThat(answers).containsExactly("a failed");
         assertThat(counters.of("guard.unanswered")).isEqualTo(1);
     }
 
-    /** Guards: a cold node has a few attempts out at the most, a warm one as many as the module likes. */
+    /** A cold node gets at most four outstanding attempts; a warm one gets as many as the module requests. */
     @Test
-    void aColdNodeIsNotFlooded() {
-        node(Phase.SERVING, now - 100);
+    void coldNodeGetsFewAttempts() {
+        listNode(Phase.SERVING, nowMs - 100);
         for (String id : List.of("a", "b", "c", "d", "e")) {
-            take(id, PLAN, null);
+            submit(id, FREE_CLASS, null);
             assign(id);
         }
         assertThat(sent).hasSize(4);
         assertThat(counters.of("guard.cold")).isEqualTo(1);
-        waitMs(300);
+        advanceMs(300);
         assign("e");
         assertThat(sent).hasSize(5);
     }
 
-    /** Guards the bounds: jobs over them are refused, and kept outcomes are not dropped before their time. */
+    /** Jobs beyond the bounds are refused, and kept outcomes are not dropped before they expire. */
     @Test
-    void whatGoesOverTheBoundsIsRefused() {
-        node(Phase.SERVING, 0);
+    void jobsBeyondTheBoundsAreRefused() {
+        listNode(Phase.SERVING, 0);
         for (String id : List.of("a", "b", "c", "d", "e", "f")) {
-            take(id, PLAN, null);
+            submit(id, FREE_CLASS, null);
         }
         assertThat(answers).containsExactly("f refused");
         for (String id : List.of("a", "b", "c", "d", "e")) {
@@ -254,15 +267,15 @@
         }
         answers.clear();
         for (String id : List.of("x", "y")) {
-            take(id, ORDER, id);
+            submit(id, SINGLE_SHOT_CLASS, id);
             assign(id);
             sent.get(sent.size() - 1).served(ByteBuffer.allocate(1), null);
         }
-        take("z", ORDER, "z");
-        take("x2", ORDER, "x");
-        waitMs(20_001);
-        take("z2", ORDER, "z");
+        submit("z", SINGLE_SHOT_CLASS, "z");
+        submit("x2", SINGLE_SHOT_CLASS, "x");
+        advanceMs(20_001);
+        submit("z2", SINGLE_SHOT_CLASS, "z");
         assertThat(answers).containsExactly("x served", "y served", "z refused", "x2 served");
-        assertThat(room.open()).isEqualTo(1);
+        assertThat(core.open()).isEqualTo(1);
     }
 }
