--- a/src/main/java/plumpost/time/Clock.java
+++ b/src/main/java/plumpost/time/Clock.java
@@ -1,10 +1,10 @@
 package plumpost.time;
 
 /**
- * The only source of time for spans: deadlines, windows, waits and graces. It runs at the rate of real time and never steps,
- * whatever happens to the wall clock; its zero is of no meaning. Unix times go through {@link UnixTime}.
+ * The only source of time for durations: deadlines, windows, waits and grace periods. It runs at the rate of real time and
+ * never steps, even if the wall clock does; its origin has no meaning. Unix times are converted by {@link UnixTime}.
  */
 public interface Clock {
-    /** The present time in milliseconds with fractions. */
+    /** Returns the current time in milliseconds, with fractions. */
     double nowMs();
 }
--- a/src/main/java/plumpost/time/HoldUp.java
+++ b/src/main/java/plumpost/time/HoldUp.java
@@ -1,19 +1,19 @@
 package plumpost.time;
 
-/** How long the process may stand still between two of its steps, as the operators' terms give it. */
+/** How long the process may be paused between two of its steps, as the operators' terms allow. */
 public final class HoldUp {
     /**
-     * Between reading the clock and any write, and between a signal and its handler, so much real time may pass (standing
-     * test, "What production adds"). What must be over by a time is decided that much earlier.
+     * Real time that may pass between reading the clock and any write, and between a signal and its handler (standing test,
+     * "What production adds"). Decisions about what must be over by a given time are made this much earlier.
      */
     public static final double MS = 150;
 
     /**
-     * An attempt may begin so long after its client closed or gave up, not later (standing test, "How the days are played").
+     * Latest start of an attempt after its client closed or gave up (standing test, "How the days are played").
      */
     public static final double AFTER_LEAVE_MS = 100;
 
-    /** An attempt with less time than this left to its client may begin after the client has left, if it is held up. */
+    /** Minimum time left to the client to start an attempt: with less, a pause could delay the start past the limit. */
     public static final double LEAST_LEFT_MS = MS - AFTER_LEAVE_MS;
 
     private HoldUp() {}
--- a/src/main/java/plumpost/time/SystemClock.java
+++ b/src/main/java/plumpost/time/SystemClock.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * The system's monotonic clock, counted from the Unix time at which this clock was made. It agrees with Unix time until the
- * wall clock steps or drifts, and is not drawn towards it: a span measured here is a span of real time.
+ * The system's monotonic clock, with an origin such that it equals Unix time when it is created. It agrees with Unix time
+ * until the wall clock steps or drifts and is never adjusted to it, so that durations are durations of real time.
  */
 public final class SystemClock implements Clock {
     private static final double NANOS_PER_MS = 1e6;
@@ -21,7 +21,7 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** The wall clock in Unix milliseconds; it may step either way at any time. */
+    /** Returns the wall clock's Unix time in milliseconds; it may step in either direction at any time. */
     static double wallMs() {
         Instant now = Instant.now();
         return now.getEpochSecond() * MS_PER_SECOND + now.getNano() / NANOS_PER_MS;
--- a/src/main/java/plumpost/time/TimerWheel.java
+++ b/src/main/java/plumpost/time/TimerWheel.java
@@ -4,106 +4,107 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Timers in coarse ticks of 2 ms on one wheel; a timer runs at or after its time, never before. */
+/** Timer wheel with ticks of 2 ms; a timer runs at or after its due time, never before. */
 public final class TimerWheel {
-    /** Length of a tick. */
+    /** Length of a tick in milliseconds. */
     public static final double TICK_MS = 2;
 
-    private static final int SLOTS = 8192;
+    private static final int SLOT_COUNT = 8192;
 
-    /** A timer that was set; it can be called off. */
+    /** A scheduled timer, which can be cancelled. */
     public static final class Timer {
-        private final long tick;
-        private Runnable what;
+        private final long dueTick;
+        private Runnable action;
 
-        private Timer(long tick, Runnable what) {
-            this.tick = tick;
-            this.what = what;
+        private Timer(long dueTick, Runnable action) {
+            this.dueTick = dueTick;
+            this.action = action;
         }
 
-        /** Calls the timer off; harmless once it has run. */
+        /** Cancels the timer; has no effect once it has run. */
         public void cancel() {
-            what = null;
+            action = null;
         }
 
         private void run() {
-            Runnable once = what;
-            what = null;
-            once.run();
+            Runnable current = action;
+            action = null;
+            current.run();
         }
     }
 
-    private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
-    private final BitSet filled = new BitSet(SLOTS);
-    private long turned;
+    private final List<List<Timer>> slots = new ArrayList<>(SLOT_COUNT);
+    private final BitSet occupied = new BitSet(SLOT_COUNT);
+    private long currentTick;
 
-    /** A wheel that stands at the given time. */
+    /** Creates a wheel that starts at the given time. */
     public TimerWheel(double nowMs) {
-        for (int i = 0; i < SLOTS; i++) {
+        for (int i = 0; i < SLOT_COUNT; i++) {
             slots.add(new ArrayList<>(0));
         }
-        turned = (long) Math.floor(nowMs / TICK_MS);
+        currentTick = (long) Math.floor(nowMs / TICK_MS);
     }
 
-    /** Sets a timer; one that is due already runs with the next turn. */
-    public Timer at(double dueMs, Runnable what) {
-        Timer t = new Timer(Math.max((long) Math.ceil(dueMs / TICK_MS), turned + 1), what);
-        int slot = (int) (t.tick % SLOTS);
-        slots.get(slot).add(t);
-        filled.set(slot);
-        return t;
+    /** Schedules a timer; one that is already due runs in the next tick. */
+    public Timer at(double dueMs, Runnable action) {
+        Timer timer = new Timer(Math.max((long) Math.ceil(dueMs / TICK_MS), currentTick + 1), action);
+        int slot = (int) (timer.dueTick % SLOT_COUNT);
+        slots.get(slot).add(timer);
+        occupied.set(slot);
+        return timer;
     }
 
     /**
-     * Runs what is due, a tick after the other. Where timers throw, the first fault is thrown on once all others of their tick
-     * have run; later ticks are run by the next turn.
+     * Runs the due timers, tick by tick. If timers throw, the first exception is rethrown once all others of the same tick
+     * have run; later ticks are run by the next call.
      */
     public void turnTo(double nowMs) {
-        long target = (long) Math.floor(nowMs / TICK_MS);
-        while (turned < target) {
-            // Nothing can be due in a tick whose slot is empty: go on to the next filled one.
-            int slot = (int) ((turned + 1) % SLOTS);
-            int next = filled.nextSetBit(slot);
-            long step = next < 0 ? SLOTS - slot : next - slot;
-            if (step > 0) {
-                turned = Math.min(target, turned + step);
+        long targetTick = (long) Math.floor(nowMs / TICK_MS);
+        while (currentTick < targetTick) {
+            // Nothing can be due in a tick whose slot is empty: skip to the next occupied one.
+            int slot = (int) ((currentTick + 1) % SLOT_COUNT);
+            int nextOccupied = occupied.nextSetBit(slot);
+            long ticksToSkip = nextOccupied < 0 ? SLOT_COUNT - slot : nextOccupied - slot;
+            if (ticksToSkip > 0) {
+                currentTick = Math.min(targetTick, currentTick + ticksToSkip);
                 continue;
             }
-            turned++;
+            currentTick++;
             run(slot);
         }
     }
 
     private void run(int slot) {
-        List<Timer> all = slots.get(slot);
+        List<Timer> timers = slots.get(slot);
         slots.set(slot, new ArrayList<>(0));
-        filled.clear(slot);
-        RuntimeException fault = null;
-        for (Timer timer : all) {
-            if (timer.what == null) {
+        occupied.clear(slot);
+        RuntimeException firstFailure = null;
+        for (Timer timer : timers) {
+            if (timer.action == null) {
                 continue;
             }
-            if (timer.tick > turned) {
+            if (timer.dueTick > currentTick) {
                 slots.get(slot).add(timer);
-                filled.set(slot);
+                occupied.set(slot);
                 continue;
             }
             try {
                 timer.run();
             } catch (RuntimeException e) {
-                fault = fault == null ? e : fault;
+                firstFailure = firstFailure == null ? e : firstFailure;
             }
         }
-        if (fault != null) {
-            throw fault;
+        if (firstFailure != null) {
+            throw firstFailure;
         }
     }
 
-    /** The time before which nothing is due, at most the given span from now. */
+    /** Returns a time before which no timer is due, at most the given span from now. */
     public double quietUntil(double nowMs, double spanMs) {
-        int slot = (int) ((turned + 1) % SLOTS);
-        int next = filled.nextSetBit(slot);
-        long ahead = next >= 0 ? next - slot : SLOTS - slot + Math.max(0, filled.nextSetBit(0));
-        return Math.min(nowMs + spanMs, (turned + 1 + ahead) * TICK_MS);
+        int slot = (int) ((currentTick + 1) % SLOT_COUNT);
+        int nextOccupied = occupied.nextSetBit(slot);
+        long ticksAhead =
+                nextOccupied >= 0 ? nextOccupied - slot : SLOT_COUNT - slot + Math.max(0, occupied.nextSetBit(0));
+        return Math.min(nowMs + spanMs, (currentTick + 1 + ticksAhead) * TICK_MS);
     }
 }
--- a/src/main/java/plumpost/time/UnixTime.java
+++ b/src/main/java/plumpost/time/UnixTime.java
@@ -5,87 +5,90 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The border between Unix times, which others write and read, and the loop's {@link Clock}, by which all spans run. The wall
- * clock may step by seconds or hours either way; nothing tells which of its readings was the true one, so the last few
- * distances between both clocks are remembered. One thread owns it.
+ * Converts between Unix times, which are exchanged with other machines, and the loop's {@link Clock}, which measures all
+ * durations. The wall clock may step by seconds or hours in either direction, and no reading is known to be the correct one,
+ * so the last few offsets between both clocks are remembered. Owned by one thread.
  */
 public final class UnixTime {
-    /** A change of the distance by more than that is a step; less is drift, and is followed. */
-    static final double STEP_MS = 100;
-    /** Distances that are remembered; an older one is forgotten. */
-    private static final int MOST_REMEMBERED = 8;
+    /** A change of the offset by more than this is a step; a smaller one is drift, and the offset follows it. */
+    static final double STEP_THRESHOLD_MS = 100;
+    /** Number of remembered offsets; beyond this the oldest is forgotten. */
+    private static final int MAX_OFFSETS = 8;
 
     private final Clock clock;
     private final DoubleSupplier wallMs;
-    /** Unix time less the clock's time, before and after each step that was seen; the newest last. */
-    private final Deque<Double> distancesMs = new ArrayDeque<>();
+    /** Unix time minus the clock's time, before and after each observed step; the newest last. */
+    private final Deque<Double> offsetsMs = new ArrayDeque<>();
 
     private long steps;
 
-    /** Unix time by a wall clock of one's own. */
+    /** Creates a converter for the given wall clock. */
     public UnixTime(Clock clock, DoubleSupplier wallMs) {
         this.clock = clock;
         this.wallMs = wallMs;
-        distancesMs.add(wallMs.getAsDouble() - clock.nowMs());
+        offsetsMs.add(wallMs.getAsDouble() - clock.nowMs());
     }
 
-    /** Unix time by the system's wall clock. */
+    /** Creates a converter for the system's wall clock. */
     public static UnixTime system(Clock clock) {
         return new UnixTime(clock, SystemClock::wallMs);
     }
 
-    /** Unix time for a clock that tells it itself and never steps, as virtual ones do. */
+    /** Creates a converter for a clock that itself gives Unix time and never steps, such as a virtual one. */
     public static UnixTime of(Clock clock) {
         return new UnixTime(clock, clock::nowMs);
     }
 
-    /** The present Unix time in milliseconds. */
+    /** Returns the current Unix time in milliseconds. */
     public double nowMs() {
         observe();
-        return clock.nowMs() + distancesMs.getLast();
+        return clock.nowMs() + offsetsMs.getLast();
     }
 
-    /** Compares both clocks, so that a step is remembered; true where there was one since the last look. */
+    /** Compares both clocks and records a step; returns whether there was one since the last call. */
     public boolean observe() {
-        double distance = wallMs.getAsDouble() - clock.nowMs();
-        double last = distancesMs.getLast();
-        boolean stepped = Math.abs(distance - last) > STEP_MS;
+        double offset = wallMs.getAsDouble() - clock.nowMs();
+        double previous = offsetsMs.getLast();
+        boolean stepped = Math.abs(offset - previous) > STEP_THRESHOLD_MS;
         if (!stepped) {
-            distancesMs.removeLast();
+            offsetsMs.removeLast();
         } else {
             steps++;
-            distancesMs.removeIf(known -> Math.abs(known - distance) <= STEP_MS); // a step back to a known distance
-            while (distancesMs.size() >= MOST_REMEMBERED) {
-                distancesMs.removeFirst();
+            // A step back to a known offset replaces that offset.
+            offsetsMs.removeIf(known -> Math.abs(known - offset) <= STEP_THRESHOLD_MS);
+            while (offsetsMs.size() >= MAX_OFFSETS) {
+                offsetsMs.removeFirst();
             }
         }
-        distancesMs.addLast(distance);
+        offsetsMs.addLast(offset);
         return stepped;
     }
 
-    /** Steps that were seen. */
+    /** Returns the number of observed steps. */
     public long steps() {
         return steps;
     }
 
-    /** How long until a Unix time by the present wall clock, in milliseconds; negative where it is past. */
+    /** Returns the milliseconds until a Unix time by the current wall clock; negative if it is past. */
     public double untilMs(double unixMs) {
         return unixMs - nowMs();
     }
 
     /**
-     * When something happened by the loop's clock that another machine says happened at a Unix time. Where the wall clock has
-     * stepped, the latest moment that any remembered distance allows: the caller takes the event for as young as it may be. A
-     * time that would lie in the future is now.
+     * Converts the Unix time of an event on another machine to the loop's clock. If the wall clock has stepped, this is the
+     * latest time that any remembered offset allows, so that the caller takes the event to be as recent as possible. A time
+     * that would be in the future is returned as now.
      */
     public double latestMoment(double unixMs) {
         observe();
-        double now = clock.nowMs();
-        double latest = Double.NEGATIVE_INFINITY;
-        for (double distance : distancesMs) {
-            double moment = unixMs - distance;
-            latest = moment <= now + STEP_MS ? Math.max(latest, Math.min(moment, now)) : latest;
+        double nowMs = clock.nowMs();
+        double latestMs = Double.NEGATIVE_INFINITY;
+        for (double offset : offsetsMs) {
+            double candidateMs = unixMs - offset;
+            latestMs = candidateMs <= nowMs + STEP_THRESHOLD_MS
+                    ? Math.max(latestMs, Math.min(candidateMs, nowMs))
+                    : latestMs;
         }
-        return latest == Double.NEGATIVE_INFINITY ? now : latest;
+        return latestMs == Double.NEGATIVE_INFINITY ? nowMs : latestMs;
     }
 }
--- a/src/test/java/plumpost/time/TimeTest.java
+++ b/src/test/java/plumpost/time/TimeTest.java
@@ -7,43 +7,43 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The timer wheel and the clock. */
+/** Tests the timer wheel and the system clock. */
 class TimeTest {
 
-    /** Guards that timers run once, in time order by ticks, never early and at most a tick late, round the wheel too. */
+    /** Checks that timers run once, never early and at most two ticks late, also when they wrap around the wheel. */
     @Test
-    void timersRunWithinATickOfTheirTime() {
+    void timersRunOnceAndAtMostTwoTicksLate() {
         SplittableRandom random = new SplittableRandom(5);
-        double start = 1_700_000_000_001.3;
-        double[] now = {start};
-        TimerWheel wheel = new TimerWheel(start);
-        List<Double> late = new ArrayList<>();
+        double startMs = 1_700_000_000_001.3;
+        double[] nowMs = {startMs};
+        TimerWheel wheel = new TimerWheel(startMs);
+        List<Double> delaysMs = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
-            double due = start + random.nextDouble(60_000);
-            TimerWheel.Timer t = wheel.at(due, () -> late.add(now[0] - due));
+            double dueMs = startMs + random.nextDouble(60_000);
+            TimerWheel.Timer timer = wheel.at(dueMs, () -> delaysMs.add(nowMs[0] - dueMs));
             if (i % 3 == 0) {
-                t.cancel();
+                timer.cancel();
             }
         }
-        while (now[0] < start + 60_010) {
-            double quiet = wheel.quietUntil(now[0], 500);
-            assertThat(quiet).isLessThanOrEqualTo(now[0] + 500);
-            now[0] = Math.max(now[0] + 0.1, quiet);
-            wheel.turnTo(now[0]);
+        while (nowMs[0] < startMs + 60_010) {
+            double quietUntilMs = wheel.quietUntil(nowMs[0], 500);
+            assertThat(quietUntilMs).isLessThanOrEqualTo(nowMs[0] + 500);
+            nowMs[0] = Math.max(nowMs[0] + 0.1, quietUntilMs);
+            wheel.turnTo(nowMs[0]);
         }
-        assertThat(late).hasSize(2000).allMatch(l -> l >= 0 && l <= 2 * TimerWheel.TICK_MS);
+        assertThat(delaysMs).hasSize(2000).allMatch(delayMs -> delayMs >= 0 && delayMs <= 2 * TimerWheel.TICK_MS);
     }
 
-    /** Guards that the module's time agrees with Unix time and never runs backwards. */
+    /** Checks that the clock agrees with Unix time and never runs backwards. */
     @Test
-    void theClockAgreesWithUnixTime() {
+    void systemClockStartsAtUnixTimeAndNeverRunsBackwards() {
         SystemClock clock = new SystemClock();
-        double last = 0;
+        double previousMs = 0;
         for (int i = 0; i < 10_000; i++) {
-            double now = clock.nowMs();
-            assertThat(now).isGreaterThanOrEqualTo(last);
-            last = now;
+            double nowMs = clock.nowMs();
+            assertThat(nowMs).isGreaterThanOrEqualTo(previousMs);
+            previousMs = nowMs;
         }
-        assertThat(last).isCloseTo(System.currentTimeMillis(), org.assertj.core.data.Offset.offset(1000.0));
+        assertThat(previousMs).isCloseTo(System.currentTimeMillis(), org.assertj.core.data.Offset.offset(1000.0));
     }
 }
--- a/src/test/java/plumpost/time/TimerFaultsTest.java
+++ b/src/test/java/plumpost/time/TimerFaultsTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One timer's fault must not cost the others their turn: a deadline would pass without its answer. */
+/** An exception in one timer must not keep the others from running: a deadline would pass without an answer. */
 class TimerFaultsTest {
     @Test
-    void theOthersOfATickRunThoughOneOfThemFails() {
+    void otherTimersOfATickRunWhenOneThrows() {
         TimerWheel wheel = new TimerWheel(0);
         List<String> ran = new ArrayList<>();
         wheel.at(10, () -> ran.add("before"));
--- a/src/test/java/plumpost/time/UnixTimeTest.java
+++ b/src/test/java/plumpost/time/UnixTimeTest.java
@@ -7,55 +7,56 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Unix times against a clock for spans, while the wall clock steps. */
+/** Tests the conversion between Unix time and the monotonic clock while the wall clock steps. */
 class UnixTimeTest {
     private static final double HOUR_MS = 3_600_000;
 
-    private double spanMs = 5_000;
-    private double stepMs = 1_700_000_000_000.0;
-    private final UnixTime unix = new UnixTime(() -> spanMs, () -> spanMs + stepMs);
+    private double monotonicMs = 5_000;
+    private double offsetMs = 1_700_000_000_000.0;
+    private final UnixTime unixTime = new UnixTime(() -> monotonicMs, () -> monotonicMs + offsetMs);
 
-    /** Guards spans: an event of two seconds ago is one of two seconds ago, whichever way the wall clock stepped since. */
+    /** Checks that an event of two seconds ago stays two seconds old when the wall clock steps in either direction. */
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS, 3_000, -3_000})
-    void aStepDoesNotChangeWhenSomethingHappened(double step) {
-        double happened = unix.nowMs();
-        double at = spanMs;
-        spanMs += 2_000;
-        stepMs += step;
-        assertThat(unix.latestMoment(happened)).isEqualTo(at, within(UnixTime.STEP_MS));
-        assertThat(unix.steps()).isEqualTo(1);
+    void wallClockStepDoesNotMoveAnEarlierEvent(double stepMs) {
+        double eventUnixMs = unixTime.nowMs();
+        double eventMs = monotonicMs;
+        monotonicMs += 2_000;
+        offsetMs += stepMs;
+        assertThat(unixTime.latestMoment(eventUnixMs)).isEqualTo(eventMs, within(UnixTime.STEP_THRESHOLD_MS));
+        assertThat(unixTime.steps()).isEqualTo(1);
     }
 
-    /** Guards a start told by a machine whose clock stepped as well: it is as young as it can be, never in the future. */
+    /** Checks that an event stamped by a machine whose clock has stepped too is recent and never in the future. */
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS})
-    void whatIsToldByTheNewClockIsUnderstoodToo(double step) {
-        stepMs += step;
-        spanMs += 100;
-        double happened = spanMs - 50 + stepMs;
-        assertThat(unix.latestMoment(happened)).isBetween(spanMs - 50 - UnixTime.STEP_MS, spanMs);
+    void eventStampedByASteppedClockIsPlacedInTheRecentPast(double stepMs) {
+        offsetMs += stepMs;
+        monotonicMs += 100;
+        double eventUnixMs = monotonicMs - 50 + offsetMs;
+        assertThat(unixTime.latestMoment(eventUnixMs))
+                .isBetween(monotonicMs - 50 - UnixTime.STEP_THRESHOLD_MS, monotonicMs);
     }
 
-    /** Guards against a time that no clock has told: it is now, so that a cold worker is neither skipped nor held for long. */
+    /** A time that no clock had is taken as now, so that a cold worker is neither missed nor treated as cold for long. */
     @Test
-    void aTimeInTheFutureIsNow() {
-        assertThat(unix.latestMoment(unix.nowMs() + 10 * HOUR_MS)).isEqualTo(spanMs);
+    void futureTimeIsTakenAsNow() {
+        assertThat(unixTime.latestMoment(unixTime.nowMs() + 10 * HOUR_MS)).isEqualTo(monotonicMs);
     }
 
-    /** Guards memory and exactness under many steps and under drift, which is followed without a step. */
+    /** Checks that many steps are counted and converted exactly, and that drift is followed without a step. */
     @Test
-    void manyStepsAndDriftAreFollowed() {
+    void manyStepsAndDriftAreTracked() {
         for (int i = 1; i <= 100; i++) {
-            stepMs += i * 1_000;
-            assertThat(unix.observe()).isTrue();
+            offsetMs += i * 1_000;
+            assertThat(unixTime.observe()).isTrue();
         }
         for (int i = 0; i < 100; i++) {
-            stepMs += 10;
-            assertThat(unix.observe()).isFalse();
+            offsetMs += 10;
+            assertThat(unixTime.observe()).isFalse();
         }
-        assertThat(unix.nowMs()).isEqualTo(spanMs + stepMs, within(1e-3));
-        assertThat(unix.untilMs(spanMs + stepMs + 70)).isEqualTo(70, within(1e-3));
-        assertThat(unix.steps()).isEqualTo(100);
+        assertThat(unixTime.nowMs()).isEqualTo(monotonicMs + offsetMs, within(1e-3));
+        assertThat(unixTime.untilMs(monotonicMs + offsetMs + 70)).isEqualTo(70, within(1e-3));
+        assertThat(unixTime.steps()).isEqualTo(100);
     }
 }
