--- a/src/main/java/plumpost/durable/OrderLife.java
+++ b/src/main/java/plumpost/durable/OrderLife.java
@@ -1,96 +1,101 @@
 package plumpost.durable;
 
 /**
- * The life of one durable order as a pure state machine: what it was, what happened, what it becomes, and what has to
- * be done for it. Whoever drives it writes {@link Step#record} to disk before anything that the step asks for in
- * {@link Step#afterRecord} is done, and may do {@link Step#atOnce} at once.
+ * The life cycle of one durable order as a state machine without side effects: from a state and an event it computes the
+ * next state and the actions to take. If {@link Step#record} is set, the caller has to write the new state to disk before
+ * it takes the action in {@link Step#afterRecord}; it may take the action in {@link Step#atOnce} without waiting.
  */
 public final class OrderLife {
-    /** Where an order stands. */
+    /** State of an order. */
     public enum State {
-        /** Acknowledged, and no worker has seen it. */
+        /** Accepted, and no worker has seen it. */
         TAKEN,
-        /** The intent to hand it to a worker is on disk: from here on it may have run. */
+        /** The intent to hand it to a worker is recorded; from here on it may have run. */
         LEASED,
-        /** Its worker has told of it. */
+        /** Its worker has reported that it runs. */
         STARTED,
-        /** After a restart: it was leased, and its worker may come back and report. */
+        /** It was leased before a restart, and its worker may reconnect and report. */
         AWAITED,
-        /** Its worker said that it is done. */
+        /** Its worker reported success. */
         SERVED,
-        /** Its worker said that it failed. */
+        /** Its worker reported failure, or it was given up before any worker had it. */
         FAILED,
-        /** Nobody knows whether it ran; its clients were told that it failed. */
+        /** It is unknown whether it ran; its clients were answered that it failed. */
         UNKNOWN;
 
-        /** True once its clients have their one final answer. */
+        /** Returns whether the order has ended, so that its clients get their one final answer. */
         public boolean ended() {
             return ordinal() >= SERVED.ordinal();
         }
 
-        /** True where a worker may have run it. */
+        /** Returns whether a worker may have run it. */
         public boolean mayHaveRun() {
             return this != TAKEN;
         }
     }
 
-    /** What can happen to an order. */
+    /** Event that can happen to an order. */
     public enum Event {
-        /** The module gives it to a worker. */
+        /** The module assigns it to a worker. */
         LEASE,
-        /** The worker has never seen it: it left, or did not grab it. */
+        /** The worker never saw it, because it disconnected or did not grab it. */
         HANDED_BACK,
-        /** The worker tells something of it. */
+        /** The worker reports progress or other signs of a run. */
         HEARTBEAT,
-        /** The worker says that it is done. */
+        /** The worker reports success. */
         DONE,
-        /** The worker says that it failed. */
+        /** The worker reports failure. */
         FAIL,
-        /** The worker is lost, its lease has run out, or its time is up. */
+        /** The worker is lost, the lease has expired, or the order's time is over. */
         STALL,
-        /** The scheduler starts anew and finds the order on disk. */
+        /** The scheduler restarts and reads the order from disk. */
         RECOVER,
-        /** Its client's time is up, or it was called off, and no worker has it. */
+        /** Its client's time is over, or it was cancelled, and no worker has it. */
         GIVE_UP
     }
 
-    /** What has to be done for an order. */
+    /** Action to take for an order. */
     public enum Deed {
         /** Hand it to the worker that the lease names. */
         HAND_OUT,
-        /** Give it to the module again. */
+        /** Submit it to the module again. */
         QUEUE,
-        /** Tell all who wait that it is served, with its result. */
+        /** Answer all waiting clients that it was served, with its result. */
         ANSWER_SERVED,
-        /** Tell all who wait that it failed. */
+        /** Answer all waiting clients that it failed. */
         ANSWER_FAILED,
-        /** Keep the outcome for resubmits, and tell nobody. */
+        /** Keep the outcome for resubmissions without answering anyone. */
         KEEP_ONLY,
-        /** Wait for its worker to come back, for the stated time. */
+        /** Wait for a limited time for its worker to reconnect. */
         AWAIT
     }
 
     /**
-     * What an event makes of an order.
+     * Transition of an order caused by an event.
      *
-     * @param state what it becomes
-     * @param fence the number of its latest lease; a worker's word counts only under it
-     * @param record whether the new state has to be on disk before {@code afterRecord} is done
-     * @param atOnce what may be done without waiting for the disk, or null
-     * @param afterRecord what is done once the state is on disk, or null
+     * @param state the next state
+     * @param fence the number of its latest lease; reports of a worker are valid only with this number
+     * @param record whether the new state has to be on disk before {@code afterRecord} is taken
+     * @param atOnce action that does not wait for the disk, or null
+     * @param afterRecord action to take once the state is on disk, or null
      */
     public record Step(State state, long fence, boolean record, Deed atOnce, Deed afterRecord) {}
 
     private OrderLife() {}
 
     /**
-     * What an event makes of an order; null where it means nothing: a word under an old lease, or too late to count.
+     * Returns the transition that an event causes, or null if the event is ignored because it belongs to an old lease or
+     * does not apply to the state.
      *
-     * @param fence the lease that the event speaks of; for {@link Event#LEASE} it is not read
+     * @param state the present state
+     * @param latest the number of the latest lease
+     * @param event the event
+     * @param fence the lease that a worker's report belongs to; not read for {@link Event#LEASE}, {@link Event#RECOVER}
+     *     and {@link Event#GIVE_UP}
      */
     public static Step next(State state, long latest, Event event, long fence) {
-        boolean word = event != Event.LEASE && event != Event.RECOVER && event != Event.GIVE_UP;
-        if (word && fence != latest) {
+        boolean fromWorker = event != Event.LEASE && event != Event.RECOVER && event != Event.GIVE_UP;
+        if (fromWorker && fence != latest) {
             return null;
         }
         return switch (event) {
@@ -117,11 +122,11 @@
         };
     }
 
-    private static Step done(State state, long latest, State becomes, Deed answer) {
+    private static Step done(State state, long latest, State next, Deed answer) {
         if (state == State.UNKNOWN) {
-            // Its clients were told that it failed. The truth is kept, and is what a resubmit gets.
-            return new Step(becomes, latest, true, null, Deed.KEEP_ONLY);
+            // Its clients were answered that it failed. The real outcome is kept for resubmissions.
+            return new Step(next, latest, true, null, Deed.KEEP_ONLY);
         }
-        return state.ended() || state == State.TAKEN ? null : new Step(becomes, latest, true, null, answer);
+        return state.ended() || state == State.TAKEN ? null : new Step(next, latest, true, null, answer);
     }
 }
--- a/src/test/java/plumpost/durable/OrderLifeTest.java
+++ b/src/test/java/plumpost/durable/OrderLifeTest.java
@@ -5,29 +5,29 @@
 import org.junit.jupiter.api.Test;
 import plumpost.durable.OrderLife.State;
 
-/** The life of a durable order, explored whole for small numbers. */
+/** Tests the life cycle of durable orders by exhaustive search of a small model. */
 class OrderLifeTest {
-    /** Guards the protocol: in no interleaving does an order run twice, get two answers, or get lost once acknowledged. */
+    /** In no interleaving does an order run twice, get two answers, or get lost once it is acknowledged. */
     @Test
-    void noInterleavingBreaksARule() {
-        OrderModel model = new OrderModel(OrderModel.Broken.NOTHING);
+    void noInterleavingBreaksAnInvariant() {
+        OrderModel model = new OrderModel(OrderModel.Mutation.NOTHING);
         assertThat(model.search()).isNull();
-        assertThat(model.seen.size()).as("states").isGreaterThan(100_000);
-        assertThat(model.reached).containsExactlyInAnyOrder(State.values());
+        assertThat(model.visited.size()).as("states").isGreaterThan(100_000);
+        assertThat(model.reachedStates).containsExactlyInAnyOrder(State.values());
     }
 
-    /** Guards the checker itself: each way to break the driver is found, by the rule that it breaks. */
+    /** Checks the model checker itself: each mutation of the driver is detected by the invariant that it breaks. */
     @Test
-    void eachBrokenDriverIsFound() {
-        assertThat(new OrderModel(OrderModel.Broken.HANDS_OUT_BEFORE_THE_RECORD).search())
+    void eachMutationOfTheDriverIsDetected() {
+        assertThat(new OrderModel(OrderModel.Mutation.HAND_OUT_BEFORE_WRITE).search())
                 .contains("ran twice");
-        assertThat(new OrderModel(OrderModel.Broken.QUEUES_LEASED_ORDERS_AT_A_START).search())
+        assertThat(new OrderModel(OrderModel.Mutation.QUEUE_LEASED_ORDERS_ON_RESTART).search())
                 .contains("ran twice");
-        assertThat(new OrderModel(OrderModel.Broken.LOST_IS_HANDED_BACK).search())
+        assertThat(new OrderModel(OrderModel.Mutation.TREAT_LOST_WORKER_AS_HAND_BACK).search())
                 .contains("ran twice");
-        assertThat(new OrderModel(OrderModel.Broken.ACKNOWLEDGES_BEFORE_THE_RECORD).search())
+        assertThat(new OrderModel(OrderModel.Mutation.ACKNOWLEDGE_BEFORE_WRITE).search())
                 .contains("is lost");
-        assertThat(new OrderModel(OrderModel.Broken.ANSWERS_LATE_RESULTS).search())
+        assertThat(new OrderModel(OrderModel.Mutation.ANSWER_LATE_RESULTS).search())
                 .contains("two final answers");
     }
 }
--- a/src/test/java/plumpost/durable/OrderModel.java
+++ b/src/test/java/plumpost/durable/OrderModel.java
@@ -16,343 +16,364 @@
 import plumpost.durable.OrderLife.Step;
 
 /**
- * A small model checker: every interleaving of two orders, two workers and two crashes with the disk's writes, stalls,
- * late results, resubmits and reconnects, breadth first, each state once. Writes reach the disk in their order, and a
- * crash keeps any first part of those that are under way.
+ * A small model checker. It explores, breadth first and each state once, every interleaving of two orders, two workers
+ * and two crashes with disk writes, stalls, late results, resubmissions and reconnects. Writes reach the disk in order,
+ * and a crash keeps any prefix of the pending ones.
  */
 final class OrderModel {
-    private static final int ORDERS = 2;
-    private static final int WORKERS = 2;
-    private static final int CRASHES = 2;
-    /** Leases of one order, and writes under way: bounds, without which the states have no end. */
-    private static final int LEASES = 2;
+    private static final int ORDER_COUNT = 2;
+    private static final int WORKER_COUNT = 2;
+    private static final int MAX_CRASHES = 2;
+    /** Leases per order; without this limit and that on pending writes the state space would be infinite. */
+    private static final int MAX_LEASES = 2;
 
-    private static final int WRITES = 3;
+    private static final int MAX_PENDING_WRITES = 3;
 
-    /** How the driver of the state machine may be broken on purpose. */
-    enum Broken {
+    /** Deliberate defects of the driver, which the search has to detect. */
+    enum Mutation {
         NOTHING,
-        HANDS_OUT_BEFORE_THE_RECORD,
-        QUEUES_LEASED_ORDERS_AT_A_START,
-        LOST_IS_HANDED_BACK,
-        ACKNOWLEDGES_BEFORE_THE_RECORD,
-        ANSWERS_LATE_RESULTS
+        HAND_OUT_BEFORE_WRITE,
+        QUEUE_LEASED_ORDERS_ON_RESTART,
+        TREAT_LOST_WORKER_AS_HAND_BACK,
+        ACKNOWLEDGE_BEFORE_WRITE,
+        ANSWER_LATE_RESULTS
     }
 
-    /** What is known of an order, in memory or on disk. */
-    record Known(State state, long fence, int worker) {}
+    /** State of an order in memory or on disk. */
+    record OrderRecord(State state, long fence, int worker) {}
 
-    /** A write under way: the order's new state and what follows it. */
-    record Write(int order, Known known, Deed deed, boolean acknowledges) {}
+    /** A pending write: the order's new state and the action that follows the write. */
+    record Write(int order, OrderRecord content, Deed action, boolean acknowledges) {}
 
-    /** The whole system; compared by value. */
-    static final class World {
-        Known[] disk = new Known[ORDERS];
-        Known[] memory = new Known[ORDERS];
-        List<Write> writes = new ArrayList<>();
-        int[] runs = new int[ORDERS];
-        boolean[] acknowledged = new boolean[ORDERS];
-        /** 0 nobody waits, 1 a client waits, 2 it has its answer, 3 it got one more. */
-        int[] client = new int[ORDERS];
+    /** State of the whole system; compared by {@link #key()}. */
+    static final class SystemState {
+        OrderRecord[] disk = new OrderRecord[ORDER_COUNT];
+        OrderRecord[] memory = new OrderRecord[ORDER_COUNT];
+        List<Write> pendingWrites = new ArrayList<>();
+        int[] runCounts = new int[ORDER_COUNT];
+        boolean[] acknowledged = new boolean[ORDER_COUNT];
+        /** 0: no client waits; 1: a client waits; 2: it has its answer; 3: it has got a second answer. */
+        int[] clientState = new int[ORDER_COUNT];
 
-        int[] holds = {-1, -1};
-        long[] fence = new long[WORKERS];
-        boolean[] ran = new boolean[WORKERS];
+        int[] heldOrder = {-1, -1};
+        long[] heldFence = new long[WORKER_COUNT];
+        boolean[] hasRun = new boolean[WORKER_COUNT];
         int crashes;
-        String broken;
+        String violation;
 
-        World copy() {
-            World w = new World();
-            w.disk = disk.clone();
-            w.memory = memory.clone();
-            w.writes = new ArrayList<>(writes);
-            w.runs = runs.clone();
-            w.acknowledged = acknowledged.clone();
-            w.client = client.clone();
-            w.holds = holds.clone();
-            w.fence = fence.clone();
-            w.ran = ran.clone();
-            w.crashes = crashes;
-            w.broken = broken;
-            return w;
+        SystemState copy() {
+            SystemState copy = new SystemState();
+            copy.disk = disk.clone();
+            copy.memory = memory.clone();
+            copy.pendingWrites = new ArrayList<>(pendingWrites);
+            copy.runCounts = runCounts.clone();
+            copy.acknowledged = acknowledged.clone();
+            copy.clientState = clientState.clone();
+            copy.heldOrder = heldOrder.clone();
+            copy.heldFence = heldFence.clone();
+            copy.hasRun = hasRun.clone();
+            copy.crashes = crashes;
+            copy.violation = violation;
+            return copy;
         }
 
-        /** The same for worlds that differ only in the names of their orders and workers. */
+        /** Returns a text that is equal for states that differ only in the numbering of their orders and workers. */
         String key() {
-            String least = null;
-            for (int p = 0; p < 4; p++) {
-                String k = key(p & 1, p >> 1);
-                least = least == null || k.compareTo(least) < 0 ? k : least;
+            String smallest = null;
+            for (int permutation = 0; permutation < 4; permutation++) {
+                String candidate = key(permutation & 1, permutation >> 1);
+                smallest = smallest == null || candidate.compareTo(smallest) < 0 ? candidate : smallest;
             }
-            return least;
+            return smallest;
         }
 
         private String key(int swapOrders, int swapWorkers) {
-            StringBuilder k = new StringBuilder(48);
-            for (int i = 0; i < ORDERS; i++) {
-                int o = i ^ swapOrders;
-                add(k, disk[o], swapWorkers);
-                add(k, memory[o], swapWorkers);
-                k.append((char) (runs[o] * 16 + client[o] * 2 + (acknowledged[o] ? 1 : 0)));
+            StringBuilder key = new StringBuilder(48);
+            for (int i = 0; i < ORDER_COUNT; i++) {
+                int order = i ^ swapOrders;
+                add(key, disk[order], swapWorkers);
+                add(key, memory[order], swapWorkers);
+                key.append((char) (runCounts[order] * 16 + clientState[order] * 2 + (acknowledged[order] ? 1 : 0)));
             }
-            for (int i = 0; i < WORKERS; i++) {
-                int v = i ^ swapWorkers;
-                k.append((char) ((holds[v] < 0 ? 0 : 1 + (holds[v] ^ swapOrders)) * 16
-                        + (holds[v] < 0 ? 0 : fence[v] * 2 + (ran[v] ? 1 : 0))));
+            for (int i = 0; i < WORKER_COUNT; i++) {
+                int worker = i ^ swapWorkers;
+                key.append((char) ((heldOrder[worker] < 0 ? 0 : 1 + (heldOrder[worker] ^ swapOrders)) * 16
+                        + (heldOrder[worker] < 0 ? 0 : heldFence[worker] * 2 + (hasRun[worker] ? 1 : 0))));
             }
-            for (Write w : writes) {
-                k.append((char) ((w.order ^ swapOrders) * 32
-                        + (w.deed == null ? 0 : 1 + w.deed.ordinal()) * 2
-                        + (w.acknowledges ? 1 : 0)));
-                add(k, w.known, swapWorkers);
+            for (Write write : pendingWrites) {
+                key.append((char) ((write.order ^ swapOrders) * 32
+                        + (write.action == null ? 0 : 1 + write.action.ordinal()) * 2
+                        + (write.acknowledges ? 1 : 0)));
+                add(key, write.content, swapWorkers);
             }
-            return k.append((char) crashes).toString();
+            return key.append((char) crashes).toString();
         }
 
-        private static void add(StringBuilder k, Known known, int swapWorkers) {
-            k.append((char)
-                    (known == null
+        private static void add(StringBuilder key, OrderRecord content, int swapWorkers) {
+            key.append((char)
+                    (content == null
                             ? 0
                             : 1
-                                    + known.state.ordinal()
-                                    + 8 * known.fence
-                                    + 64 * (known.worker < 0 ? 0 : 1 + (known.worker ^ swapWorkers))));
+                                    + content.state.ordinal()
+                                    + 8 * content.fence
+                                    + 64 * (content.worker < 0 ? 0 : 1 + (content.worker ^ swapWorkers))));
         }
 
-        void check(boolean kept, String words) {
-            broken = broken == null && !kept ? words : broken;
+        void check(boolean holds, String message) {
+            violation = violation == null && !holds ? message : violation;
         }
     }
 
-    private final Broken how;
-    final Set<String> seen = new HashSet<>();
-    final Set<State> reached = EnumSet.noneOf(State.class);
-    private final Map<String, String> from = new HashMap<>();
-    private final ArrayDeque<World> next = new ArrayDeque<>();
-    private String current;
-    int moves;
+    private final Mutation mutation;
+    final Set<String> visited = new HashSet<>();
+    final Set<State> reachedStates = EnumSet.noneOf(State.class);
+    private final Map<String, String> paths = new HashMap<>();
+    private final ArrayDeque<SystemState> queue = new ArrayDeque<>();
+    private String currentPath;
+    int transitionCount;
 
-    OrderModel(Broken how) {
-        this.how = how;
+    OrderModel(Mutation mutation) {
+        this.mutation = mutation;
     }
 
-    // ---- the driver, as the scheduler is to be ----
+    // ---- the driver: what the scheduler does ----
 
-    private void apply(World w, int o, Event event, long fence) {
-        Known k = w.memory[o];
-        Step s = k == null ? null : OrderLife.next(k.state(), k.fence(), event, fence);
-        if (s != null) {
-            perform(w, o, s, k.worker());
+    private void apply(SystemState system, int order, Event event, long fence) {
+        OrderRecord known = system.memory[order];
+        Step step = known == null ? null : OrderLife.next(known.state(), known.fence(), event, fence);
+        if (step != null) {
+            applyStep(system, order, step, known.worker());
         }
     }
 
-    private void perform(World w, int o, Step s, int worker) {
-        w.memory[o] = new Known(s.state(), s.fence(), worker);
-        if (s.atOnce() != null) {
-            deed(w, o, s.atOnce());
+    private void applyStep(SystemState system, int order, Step step, int worker) {
+        system.memory[order] = new OrderRecord(step.state(), step.fence(), worker);
+        if (step.atOnce() != null) {
+            execute(system, order, step.atOnce());
         }
-        Deed after = s.afterRecord();
-        if (after == Deed.KEEP_ONLY && how == Broken.ANSWERS_LATE_RESULTS) {
-            after = Deed.ANSWER_SERVED;
+        Deed afterRecord = step.afterRecord();
+        if (afterRecord == Deed.KEEP_ONLY && mutation == Mutation.ANSWER_LATE_RESULTS) {
+            afterRecord = Deed.ANSWER_SERVED;
         }
-        if (after == Deed.HAND_OUT && how == Broken.HANDS_OUT_BEFORE_THE_RECORD) {
-            deed(w, o, after);
-            after = null;
+        if (afterRecord == Deed.HAND_OUT && mutation == Mutation.HAND_OUT_BEFORE_WRITE) {
+            execute(system, order, afterRecord);
+            afterRecord = null;
         }
-        if (s.record()) {
-            w.writes.add(new Write(o, w.memory[o], after, false));
+        if (step.record()) {
+            system.pendingWrites.add(new Write(order, system.memory[order], afterRecord, false));
         }
     }
 
-    private void deed(World w, int o, Deed deed) {
-        switch (deed) {
+    private void execute(SystemState system, int order, Deed action) {
+        switch (action) {
             case HAND_OUT -> {
-                Known k = w.memory[o];
-                if (k != null && k.state() == State.LEASED && w.holds[k.worker()] < 0) {
-                    w.holds[k.worker()] = o;
-                    w.fence[k.worker()] = k.fence();
-                    w.ran[k.worker()] = false;
+                OrderRecord known = system.memory[order];
+                if (known != null && known.state() == State.LEASED && system.heldOrder[known.worker()] < 0) {
+                    system.heldOrder[known.worker()] = order;
+                    system.heldFence[known.worker()] = known.fence();
+                    system.hasRun[known.worker()] = false;
                 }
             }
             case ANSWER_SERVED, ANSWER_FAILED -> {
-                if (w.client[o] > 0) {
-                    w.client[o]++;
-                    w.check(w.client[o] == 2, "a client got two final answers for order " + o);
+                if (system.clientState[order] > 0) {
+                    system.clientState[order]++;
+                    system.check(system.clientState[order] == 2, "a client got two final answers for order " + order);
                 }
             }
-            default -> {} // QUEUE and AWAIT change nothing that a step could not do by itself
+            default -> {} // QUEUE and AWAIT change nothing in this model
         }
     }
 
-    // ---- what may happen ----
+    // ---- transitions ----
 
-    private void move(World w, String name, Consumer<World> what) {
-        World to = w.copy();
-        what.accept(to);
-        moves++;
-        for (int o = 0; o < ORDERS; o++) {
-            int order = o;
-            to.check(to.runs[o] <= 1, "order " + o + " ran twice");
-            to.check(!to.acknowledged[o] || to.disk[o] != null, "order " + o + " was acknowledged and is lost");
-            to.check(
-                    to.memory[o] == null || to.memory[o].state() != State.SERVED || to.runs[o] == 1,
-                    "order " + order + " is told as served and never ran");
+    private void explore(SystemState system, String name, Consumer<SystemState> change) {
+        SystemState successor = system.copy();
+        change.accept(successor);
+        transitionCount++;
+        for (int order = 0; order < ORDER_COUNT; order++) {
+            successor.check(successor.runCounts[order] <= 1, "order " + order + " ran twice");
+            successor.check(
+                    !successor.acknowledged[order] || successor.disk[order] != null,
+                    "order " + order + " was acknowledged and is lost");
+            successor.check(
+                    successor.memory[order] == null
+                            || successor.memory[order].state() != State.SERVED
+                            || successor.runCounts[order] == 1,
+                    "order " + order + " is reported as served and never ran");
         }
-        String key = to.key();
-        if (seen.add(key)) {
-            for (Known k : to.memory) {
-                if (k != null) {
-                    reached.add(k.state());
+        String key = successor.key();
+        if (visited.add(key)) {
+            for (OrderRecord record : successor.memory) {
+                if (record != null) {
+                    reachedStates.add(record.state());
                 }
             }
-            from.put(key, current + "\n" + name);
-            next.add(to);
+            paths.put(key, currentPath + "\n" + name);
+            queue.add(successor);
         }
     }
 
-    private boolean idle(World w, int worker) {
-        return w.holds[worker] < 0
-                && Arrays.stream(w.memory)
+    private boolean isIdle(SystemState system, int worker) {
+        return system.heldOrder[worker] < 0
+                && Arrays.stream(system.memory)
                         .noneMatch(k -> k != null && k.state() == State.LEASED && k.worker() == worker);
     }
 
-    private void moves(World w) {
-        for (int i = 0; i < ORDERS; i++) {
-            int o = i;
-            Known k = w.memory[o];
-            if (w.client[o] != 1 && w.writes.size() < WRITES) {
-                move(w, "client submits " + o, x -> submit(x, o));
+    private void exploreAll(SystemState system) {
+        for (int i = 0; i < ORDER_COUNT; i++) {
+            int order = i;
+            OrderRecord known = system.memory[order];
+            if (system.clientState[order] != 1 && system.pendingWrites.size() < MAX_PENDING_WRITES) {
+                explore(system, "client submits " + order, successor -> submit(successor, order));
             }
-            if (k == null) {
+            if (known == null) {
                 continue;
             }
-            if (w.writes.size() >= WRITES) {
+            if (system.pendingWrites.size() >= MAX_PENDING_WRITES) {
                 continue;
             }
-            if (k.state() == State.TAKEN) {
-                for (int v = 0; v < WORKERS; v++) {
-                    int worker = v;
-                    if (idle(w, v) && k.fence() < LEASES) {
-                        move(w, "module leases " + o + " to " + v, x -> {
-                            Step s = OrderLife.next(k.state(), k.fence(), Event.LEASE, 0);
-                            perform(x, o, s, worker);
+            if (known.state() == State.TAKEN) {
+                for (int number = 0; number < WORKER_COUNT; number++) {
+                    int worker = number;
+                    if (isIdle(system, number) && known.fence() < MAX_LEASES) {
+                        explore(system, "module leases " + order + " to " + number, successor -> {
+                            Step step = OrderLife.next(known.state(), known.fence(), Event.LEASE, 0);
+                            applyStep(successor, order, step, worker);
                         });
                     }
                 }
-                move(w, "order " + o + " is given up", x -> apply(x, o, Event.GIVE_UP, 0));
-            } else if (!k.state().ended()) {
-                move(w, "lease of " + o + " runs out", x -> apply(x, o, Event.STALL, k.fence()));
+                explore(
+                        system,
+                        "order " + order + " is given up",
+                        successor -> apply(successor, order, Event.GIVE_UP, 0));
+            } else if (!known.state().ended()) {
+                explore(
+                        system,
+                        "lease of " + order + " runs out",
+                        successor -> apply(successor, order, Event.STALL, known.fence()));
             }
         }
-        for (int v = 0; v < WORKERS; v++) {
-            int worker = v;
-            int o = w.holds[v];
-            if (o < 0 || w.writes.size() >= WRITES) {
+        for (int number = 0; number < WORKER_COUNT; number++) {
+            int worker = number;
+            int order = system.heldOrder[number];
+            if (order < 0 || system.pendingWrites.size() >= MAX_PENDING_WRITES) {
                 continue;
             }
-            if (!w.ran[v]) {
-                move(w, "worker " + v + " runs " + o, x -> {
-                    x.runs[o]++;
-                    x.ran[worker] = true;
+            if (!system.hasRun[number]) {
+                explore(system, "worker " + number + " runs " + order, successor -> {
+                    successor.runCounts[order]++;
+                    successor.hasRun[worker] = true;
                 });
-                move(w, "worker " + v + " leaves " + o + " ungrabbed", x -> {
-                    x.holds[worker] = -1;
-                    apply(x, o, Event.HANDED_BACK, x.fence[worker]);
+                explore(system, "worker " + number + " leaves " + order + " ungrabbed", successor -> {
+                    successor.heldOrder[worker] = -1;
+                    apply(successor, order, Event.HANDED_BACK, successor.heldFence[worker]);
                 });
             } else {
-                move(w, "worker " + v + " tells of " + o, x -> apply(x, o, Event.HEARTBEAT, x.fence[worker]));
-                for (Event e : List.of(Event.DONE, Event.FAIL)) {
-                    move(w, "worker " + v + " ends " + o + " " + e, x -> {
-                        x.holds[worker] = -1;
-                        apply(x, o, e, x.fence[worker]);
+                explore(
+                        system,
+                        "worker " + number + " reports on " + order,
+                        successor -> apply(successor, order, Event.HEARTBEAT, successor.heldFence[worker]));
+                for (Event ending : List.of(Event.DONE, Event.FAIL)) {
+                    explore(system, "worker " + number + " ends " + order + " " + ending, successor -> {
+                        successor.heldOrder[worker] = -1;
+                        apply(successor, order, ending, successor.heldFence[worker]);
                     });
                 }
-                move(w, "worker " + v + " is lost with " + o, x -> {
-                    x.holds[worker] = -1;
-                    apply(x, o, how == Broken.LOST_IS_HANDED_BACK ? Event.HANDED_BACK : Event.STALL, x.fence[worker]);
+                explore(system, "worker " + number + " is lost with " + order, successor -> {
+                    successor.heldOrder[worker] = -1;
+                    apply(
+                            successor,
+                            order,
+                            mutation == Mutation.TREAT_LOST_WORKER_AS_HAND_BACK ? Event.HANDED_BACK : Event.STALL,
+                            successor.heldFence[worker]);
                 });
             }
         }
-        if (!w.writes.isEmpty()) {
-            move(w, "a write is on disk", this::written);
+        if (!system.pendingWrites.isEmpty()) {
+            explore(system, "a write is on disk", this::completeWrite);
         }
-        if (w.crashes < CRASHES) {
-            for (int kept = 0; kept <= w.writes.size(); kept++) {
-                int n = kept;
-                move(w, "crash, " + n + " of the writes are kept", x -> crash(x, n));
+        if (system.crashes < MAX_CRASHES) {
+            for (int count = 0; count <= system.pendingWrites.size(); count++) {
+                int keptWrites = count;
+                explore(
+                        system,
+                        "crash, " + keptWrites + " of the writes are kept",
+                        successor -> crash(successor, keptWrites));
             }
         }
     }
 
-    private void submit(World w, int o) {
-        w.client[o] = 1;
-        Known k = w.memory[o];
-        if (k == null) {
-            w.memory[o] = new Known(State.TAKEN, 0, -1);
-            w.writes.add(new Write(o, w.memory[o], null, true));
-            if (how == Broken.ACKNOWLEDGES_BEFORE_THE_RECORD) {
-                w.acknowledged[o] = true;
+    private void submit(SystemState system, int order) {
+        system.clientState[order] = 1;
+        OrderRecord known = system.memory[order];
+        if (known == null) {
+            system.memory[order] = new OrderRecord(State.TAKEN, 0, -1);
+            system.pendingWrites.add(new Write(order, system.memory[order], null, true));
+            if (mutation == Mutation.ACKNOWLEDGE_BEFORE_WRITE) {
+                system.acknowledged[order] = true;
             }
-        } else if (k.state().ended() && w.writes.stream().noneMatch(x -> x.order() == o)) {
-            deed(w, o, Deed.ANSWER_FAILED); // the kept outcome, whichever it is; one not yet on disk is waited for
+        } else if (known.state().ended() && system.pendingWrites.stream().noneMatch(write -> write.order() == order)) {
+            // Answers with the kept outcome, whichever it is; an outcome that is not yet on disk is waited for.
+            execute(system, order, Deed.ANSWER_FAILED);
         }
     }
 
-    private void written(World w) {
-        Write first = w.writes.remove(0);
-        w.disk[first.order()] = first.known();
-        if (first.acknowledges()) {
-            w.acknowledged[first.order()] = true;
+    private void completeWrite(SystemState system) {
+        Write write = system.pendingWrites.remove(0);
+        system.disk[write.order()] = write.content();
+        if (write.acknowledges()) {
+            system.acknowledged[write.order()] = true;
         }
-        // A write that was overtaken by a later state of the order has nothing left to do but to be on disk.
-        if (first.deed() != null && (first.known().equals(w.memory[first.order()]) || answers(first.deed()))) {
-            deed(w, first.order(), first.deed());
+        // A write superseded by a later state of the order has no action left, except to answer.
+        if (write.action() != null
+                && (write.content().equals(system.memory[write.order()]) || isAnswer(write.action()))) {
+            execute(system, write.order(), write.action());
         }
-        if (first.deed() == Deed.KEEP_ONLY && w.client[first.order()] == 1) {
-            w.client[first.order()]++; // who came again while the late result was under way
+        if (write.action() == Deed.KEEP_ONLY && system.clientState[write.order()] == 1) {
+            system.clientState[write.order()]++; // a client that resubmitted while the late result was being written
         }
     }
 
-    private static boolean answers(Deed d) {
-        return d == Deed.ANSWER_SERVED || d == Deed.ANSWER_FAILED;
+    private static boolean isAnswer(Deed action) {
+        return action == Deed.ANSWER_SERVED || action == Deed.ANSWER_FAILED;
     }
 
-    private void crash(World w, int kept) {
-        w.crashes++;
+    private void crash(SystemState system, int kept) {
+        system.crashes++;
         for (int i = 0; i < kept; i++) {
-            Write first = w.writes.remove(0);
-            w.disk[first.order()] = first.known();
+            Write write = system.pendingWrites.remove(0);
+            system.disk[write.order()] = write.content();
         }
-        w.writes.clear();
-        w.client = new int[ORDERS];
-        for (int o = 0; o < ORDERS; o++) {
-            w.memory[o] = w.disk[o];
-            if (how == Broken.QUEUES_LEASED_ORDERS_AT_A_START
-                    && w.disk[o] != null
-                    && !w.disk[o].state().ended()) {
-                w.memory[o] = new Known(State.TAKEN, w.disk[o].fence(), -1);
+        system.pendingWrites.clear();
+        system.clientState = new int[ORDER_COUNT];
+        for (int order = 0; order < ORDER_COUNT; order++) {
+            system.memory[order] = system.disk[order];
+            if (mutation == Mutation.QUEUE_LEASED_ORDERS_ON_RESTART
+                    && system.disk[order] != null
+                    && !system.disk[order].state().ended()) {
+                system.memory[order] = new OrderRecord(State.TAKEN, system.disk[order].fence(), -1);
             } else {
-                apply(w, o, Event.RECOVER, 0);
+                apply(system, order, Event.RECOVER, 0);
             }
         }
     }
 
     // ---- the search ----
 
-    /** Searches until a rule is broken or all is seen; returns the shortest way to what is broken, or null. */
+    /** Explores all states; returns the first violation with the shortest path to it, or null if there is none. */
     String search() {
-        World start = new World();
-        seen.add(start.key());
-        from.put(start.key(), "");
-        next.add(start);
-        while (!next.isEmpty()) {
-            World w = next.poll();
-            current = from.get(w.key());
-            if (w.broken != null) {
-                return w.broken + ":" + current;
+        SystemState start = new SystemState();
+        visited.add(start.key());
+        paths.put(start.key(), "");
+        queue.add(start);
+        while (!queue.isEmpty()) {
+            SystemState system = queue.poll();
+            currentPath = paths.get(system.key());
+            if (system.violation != null) {
+                return system.violation + ":" + currentPath;
             }
-            moves(w);
-            from.remove(w.key());
+            exploreAll(system);
+            paths.remove(system.key());
         }
         return null;
     }
