--- a/src/main/java/plumpost/count/Counters.java
+++ b/src/main/java/plumpost/count/Counters.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name of what the scheduler takes in, sends and answers; printed on request and at exit. */
+/** Named counters of what the scheduler receives, sends and answers; printed on request and at exit. */
 public final class Counters {
     private final Map<String, long[]> counts = new HashMap<>();
 
-    /** Counts one more under a name. */
+    /** Adds 1 to a counter. */
     public void count(String name) {
         add(name, 1);
     }
 
-    /** Counts several under a name. */
-    public void add(String name, long more) {
-        counts.computeIfAbsent(name, n -> new long[1])[0] += more;
+    /** Adds to a counter. */
+    public void add(String name, long increment) {
+        counts.computeIfAbsent(name, n -> new long[1])[0] += increment;
     }
 
-    /** What has been counted under a name. */
+    /** Returns the value of a counter, 0 if it was never counted. */
     public long of(String name) {
         long[] count = counts.get(name);
         return count == null ? 0 : count[0];
     }
 
-    /** All counts, a line each. */
+    /** Returns all counters in the order of their names, one {@code name value} per line. */
     @Override
     public String toString() {
-        StringBuilder all = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         new TreeMap<>(counts)
-                .forEach((name, n) -> all.append(name).append(' ').append(n[0]).append('\n'));
-        return all.toString();
+                .forEach((name, n) -> text.append(name).append(' ').append(n[0]).append('\n'));
+        return text.toString();
     }
 }
--- a/src/main/java/plumpost/count/Statsd.java
+++ b/src/main/java/plumpost/count/Statsd.java
@@ -4,40 +4,40 @@
 import java.util.Map;
 
 /**
- * The operators' figures in statsd's line form, {@code prefix.name:value|c} for counts since the start of the process
- * and {@code |g} for gauges, taken from the counters at the moment they are asked for.
+ * Formats the operators' metrics in the statsd line format: {@code prefix.name:value|c} for counts since the start of
+ * the process and {@code |g} for gauges.
  */
 public final class Statsd {
     private Statsd() {}
 
     /**
-     * The figures: by class, jobs served, refused and failed and attempts written whole; attempts of all classes;
-     * SIGHUP files taken and turned down; then the gauges as given, in their order.
+     * Returns the metrics as lines: for each class, jobs served, refused and failed and attempts written in full; such
+     * attempts of all classes; SIGHUP files applied and rejected; then the given gauges in their order.
      */
-    public static String lines(String prefix, Counters counts, Collection<String> classes, Map<String, Long> gauges) {
-        StringBuilder b = new StringBuilder(64 * (4 * classes.size() + gauges.size() + 3));
+    public static String lines(String prefix, Counters counters, Collection<String> classes, Map<String, Long> gauges) {
+        StringBuilder text = new StringBuilder(64 * (4 * classes.size() + gauges.size() + 3));
         long forwards = 0;
-        for (String c : classes) {
-            count(b, prefix, "succeeded." + c, counts.of("jobs.served." + c));
-            count(b, prefix, "declined." + c, counts.of("jobs.refused." + c));
-            count(b, prefix, "aborted." + c, counts.of("jobs.failed." + c));
-            long whole = counts.of("attempts.whole." + c);
-            count(b, prefix, "forwards." + c, whole);
-            forwards += whole;
+        for (String className : classes) {
+            count(text, prefix, "succeeded." + className, counters.of("jobs.served." + className));
+            count(text, prefix, "declined." + className, counters.of("jobs.refused." + className));
+            count(text, prefix, "aborted." + className, counters.of("jobs.failed." + className));
+            long sent = counters.of("attempts.whole." + className);
+            count(text, prefix, "forwards." + className, sent);
+            forwards += sent;
         }
-        count(b, prefix, "forwards", forwards);
-        count(b, prefix, "sighup_applied", counts.of("config.applied"));
-        count(b, prefix, "sighup_rejected", counts.of("config.rejected"));
-        gauges.forEach((name, value) -> line(b, prefix, name, value, "g"));
-        return b.toString();
+        count(text, prefix, "forwards", forwards);
+        count(text, prefix, "sighup_applied", counters.of("config.applied"));
+        count(text, prefix, "sighup_rejected", counters.of("config.rejected"));
+        gauges.forEach((name, value) -> line(text, prefix, name, value, "g"));
+        return text.toString();
     }
 
-    private static void count(StringBuilder b, String prefix, String name, long value) {
-        line(b, prefix, name, value, "c");
+    private static void count(StringBuilder text, String prefix, String name, long value) {
+        line(text, prefix, name, value, "c");
     }
 
-    private static void line(StringBuilder b, String prefix, String name, long value, String type) {
-        b.append(prefix)
+    private static void line(StringBuilder text, String prefix, String name, long value, String type) {
+        text.append(prefix)
                 .append('.')
                 .append(name)
                 .append(':')
