--- a/src/main/java/plumpost/dispatch/DispatchCore.java
+++ b/src/main/java/plumpost/dispatch/DispatchCore.java
@@ -97,8 +97,8 @@
     }
 
     /** Returns the live counts of open jobs for a kind of work. */
-    public OpenJobCounts.Tally tally(int work) {
-        return ledger.counts().forKind(work);
+    public OpenJobCounts.Tally tally(int kind) {
+        return ledger.counts().forKind(kind);
     }
 
     /** Calls the visitor with each open job, in no particular order; it must not end any of them. */
@@ -117,8 +117,8 @@
     }
 
     /** Returns the open job under a unique key, in the form that its front composes, or null. */
-    public OpenJob entryOf(String unique) {
-        return ledger.findByUniqueKey(unique);
+    public OpenJob entryOf(String uniqueKey) {
+        return ledger.findByUniqueKey(uniqueKey);
     }
 
     boolean isServing(String node) {
@@ -156,9 +156,9 @@
     }
 
     /** Applies the fleet's decision to ban a node or to lift its ban, whether or not it was ever listed here. */
-    public void banned(String node, boolean out) {
+    public void banned(String node, boolean isBanned) {
         workers.remember(node);
-        if (out) {
+        if (isBanned) {
             offline(node);
         } else {
             online(node);
@@ -338,8 +338,8 @@
     }
 
     /** Returns whether the outcome of a job under a unique key is kept. */
-    public boolean keeps(String unique) {
-        return keptOutcomes.find(unique) != null;
+    public boolean keeps(String uniqueKey) {
+        return keptOutcomes.find(uniqueKey) != null;
     }
 
     /** Ends a job because the scheduler stops before its deadline, while its clients can still be answered. */
--- a/src/main/java/plumpost/dispatch/JobAudit.java
+++ b/src/main/java/plumpost/dispatch/JobAudit.java
@@ -10,35 +10,35 @@
  */
 final class JobAudit {
     /** Interval between two scans of the open jobs. */
-    private static final double INTERVAL_MS = 250;
+    private static final double SCAN_INTERVAL_MS = 250;
     /** Age past the deadline that is reported; the protocol counts an answer as lost 500 ms after the deadline. */
-    private static final double OVERDUE_MS = 200;
+    private static final double OVERDUE_AFTER_MS = 200;
 
     private final JobLedger ledger;
     private final RuleGuard guard;
     private final Clock clock;
     private final TimerWheel wheel;
-    private final Consumer<OpenJob> answer;
+    private final Consumer<OpenJob> answerJob;
 
-    /** Creates an audit that passes overdue jobs to {@code answer}. */
-    JobAudit(JobLedger ledger, RuleGuard guard, Clock clock, TimerWheel wheel, Consumer<OpenJob> answer) {
+    /** Creates an audit that passes overdue jobs to {@code answerJob}. */
+    JobAudit(JobLedger ledger, RuleGuard guard, Clock clock, TimerWheel wheel, Consumer<OpenJob> answerJob) {
         this.ledger = ledger;
         this.guard = guard;
         this.clock = clock;
         this.wheel = wheel;
-        this.answer = answer;
+        this.answerJob = answerJob;
     }
 
     /** Starts scanning the open jobs at intervals. */
     void start() {
-        wheel.at(clock.nowMs() + INTERVAL_MS, () -> {
+        wheel.at(clock.nowMs() + SCAN_INTERVAL_MS, () -> {
             start(); // first, so that an exception in one scan does not stop the next ones
             scan();
         });
     }
 
     private void scan() {
-        double overdueBefore = clock.nowMs() - OVERDUE_MS;
+        double overdueBefore = clock.nowMs() - OVERDUE_AFTER_MS;
         for (OpenJob job : ledger.snapshot()) {
             if (job.deadlineMs < overdueBefore) {
                 reportAndAnswer(RuleGuard.Violation.UNANSWERED, job, "found open after its time");
@@ -56,7 +56,7 @@
     private void reportAndAnswer(RuleGuard.Violation violation, OpenJob job, String detail) {
         if (!job.answered) {
             guard.report(violation, job.spec.id(), detail);
-            answer.accept(job);
+            answerJob.accept(job);
         }
     }
 }
--- a/src/main/java/plumpost/dispatch/OpenJobCounts.java
+++ b/src/main/java/plumpost/dispatch/OpenJobCounts.java
@@ -43,12 +43,12 @@
         tally.waiting[priorityIndex(job)]++;
     }
 
-    void setRunning(OpenJob job, boolean running) {
-        if (job.countedAsRunning != running && !job.answered) {
-            job.countedAsRunning = running;
+    void setRunning(OpenJob job, boolean isRunning) {
+        if (job.countedAsRunning != isRunning && !job.answered) {
+            job.countedAsRunning = isRunning;
             Tally tally = forKind(job.spec.work().kind());
-            tally.running += running ? 1 : -1;
-            tally.waiting[priorityIndex(job)] += running ? -1 : 1;
+            tally.running += isRunning ? 1 : -1;
+            tally.waiting[priorityIndex(job)] += isRunning ? -1 : 1;
         }
     }
 
--- a/src/main/java/plumpost/durable/OrderLife.java
+++ b/src/main/java/plumpost/durable/OrderLife.java
@@ -88,45 +88,47 @@
      * does not apply to the state.
      *
      * @param state the present state
-     * @param latest the number of the latest lease
+     * @param latestFence the number of the latest lease
      * @param event the event
      * @param fence the lease that a worker's report belongs to; not read for {@link Event#LEASE}, {@link Event#RECOVER}
      *     and {@link Event#GIVE_UP}
      */
-    public static Step next(State state, long latest, Event event, long fence) {
+    public static Step next(State state, long latestFence, Event event, long fence) {
         boolean fromWorker = event != Event.LEASE && event != Event.RECOVER && event != Event.GIVE_UP;
-        if (fromWorker && fence != latest) {
+        if (fromWorker && fence != latestFence) {
             return null;
         }
         return switch (event) {
-            case LEASE -> state == State.TAKEN ? new Step(State.LEASED, latest + 1, true, null, Deed.HAND_OUT) : null;
-            case HANDED_BACK -> state == State.LEASED ? new Step(State.TAKEN, latest, true, null, Deed.QUEUE) : null;
+            case LEASE ->
+                state == State.TAKEN ? new Step(State.LEASED, latestFence + 1, true, null, Deed.HAND_OUT) : null;
+            case HANDED_BACK ->
+                state == State.LEASED ? new Step(State.TAKEN, latestFence, true, null, Deed.QUEUE) : null;
             case HEARTBEAT ->
                 state == State.LEASED || state == State.AWAITED
-                        ? new Step(State.STARTED, latest, false, null, null)
+                        ? new Step(State.STARTED, latestFence, false, null, null)
                         : null;
-            case DONE -> done(state, latest, State.SERVED, Deed.ANSWER_SERVED);
-            case FAIL -> done(state, latest, State.FAILED, Deed.ANSWER_FAILED);
+            case DONE -> done(state, latestFence, State.SERVED, Deed.ANSWER_SERVED);
+            case FAIL -> done(state, latestFence, State.FAILED, Deed.ANSWER_FAILED);
             case STALL ->
                 state.ended() || state == State.TAKEN
                         ? null
-                        : new Step(State.UNKNOWN, latest, true, null, Deed.ANSWER_FAILED);
+                        : new Step(State.UNKNOWN, latestFence, true, null, Deed.ANSWER_FAILED);
             case RECOVER ->
                 state.ended()
-                        ? new Step(state, latest, false, Deed.KEEP_ONLY, null)
+                        ? new Step(state, latestFence, false, Deed.KEEP_ONLY, null)
                         : state == State.TAKEN
-                                ? new Step(state, latest, false, Deed.QUEUE, null)
-                                : new Step(State.AWAITED, latest, false, Deed.AWAIT, null);
+                                ? new Step(state, latestFence, false, Deed.QUEUE, null)
+                                : new Step(State.AWAITED, latestFence, false, Deed.AWAIT, null);
             case GIVE_UP ->
-                state == State.TAKEN ? new Step(State.FAILED, latest, true, null, Deed.ANSWER_FAILED) : null;
+                state == State.TAKEN ? new Step(State.FAILED, latestFence, true, null, Deed.ANSWER_FAILED) : null;
         };
     }
 
-    private static Step done(State state, long latest, State next, Deed answer) {
+    private static Step done(State state, long latestFence, State next, Deed answer) {
         if (state == State.UNKNOWN) {
             // Its clients were answered that it failed. The real outcome is kept for resubmissions.
-            return new Step(next, latest, true, null, Deed.KEEP_ONLY);
+            return new Step(next, latestFence, true, null, Deed.KEEP_ONLY);
         }
-        return state.ended() || state == State.TAKEN ? null : new Step(next, latest, true, null, answer);
+        return state.ended() || state == State.TAKEN ? null : new Step(next, latestFence, true, null, answer);
     }
 }
--- a/src/test/java/plumpost/durable/OrderModel.java
+++ b/src/test/java/plumpost/durable/OrderModel.java
@@ -139,10 +139,10 @@
     // ---- the driver: what the scheduler does ----
 
     private void apply(SystemState system, int order, Event event, long fence) {
-        OrderRecord known = system.memory[order];
-        Step step = known == null ? null : OrderLife.next(known.state(), known.fence(), event, fence);
+        OrderRecord current = system.memory[order];
+        Step step = current == null ? null : OrderLife.next(current.state(), current.fence(), event, fence);
         if (step != null) {
-            applyStep(system, order, step, known.worker());
+            applyStep(system, order, step, current.worker());
         }
     }
 
@@ -167,11 +167,11 @@
     private void execute(SystemState system, int order, Deed action) {
         switch (action) {
             case HAND_OUT -> {
-                OrderRecord known = system.memory[order];
-                if (known != null && known.state() == State.LEASED && system.heldOrder[known.worker()] < 0) {
-                    system.heldOrder[known.worker()] = order;
-                    system.heldFence[known.worker()] = known.fence();
-                    system.hasRun[known.worker()] = false;
+                OrderRecord current = system.memory[order];
+                if (current != null && current.state() == State.LEASED && system.heldOrder[current.worker()] < 0) {
+                    system.heldOrder[current.worker()] = order;
+                    system.heldFence[current.worker()] = current.fence();
+                    system.hasRun[current.worker()] = false;
                 }
             }
             case ANSWER_SERVED, ANSWER_FAILED -> {
@@ -222,22 +222,22 @@
     private void exploreAll(SystemState system) {
         for (int i = 0; i < ORDER_COUNT; i++) {
             int order = i;
-            OrderRecord known = system.memory[order];
+            OrderRecord current = system.memory[order];
             if (system.clientState[order] != 1 && system.pendingWrites.size() < MAX_PENDING_WRITES) {
                 explore(system, "client submits " + order, successor -> submit(successor, order));
             }
-            if (known == null) {
+            if (current == null) {
                 continue;
             }
             if (system.pendingWrites.size() >= MAX_PENDING_WRITES) {
                 continue;
             }
-            if (known.state() == State.TAKEN) {
+            if (current.state() == State.TAKEN) {
                 for (int number = 0; number < WORKER_COUNT; number++) {
                     int worker = number;
-                    if (isIdle(system, number) && known.fence() < MAX_LEASES) {
+                    if (isIdle(system, number) && current.fence() < MAX_LEASES) {
                         explore(system, "module leases " + order + " to " + number, successor -> {
-                            Step step = OrderLife.next(known.state(), known.fence(), Event.LEASE, 0);
+                            Step step = OrderLife.next(current.state(), current.fence(), Event.LEASE, 0);
                             applyStep(successor, order, step, worker);
                         });
                     }
@@ -246,11 +246,11 @@
                         system,
                         "order " + order + " is given up",
                         successor -> apply(successor, order, Event.GIVE_UP, 0));
-            } else if (!known.state().ended()) {
+            } else if (!current.state().ended()) {
                 explore(
                         system,
                         "lease of " + order + " runs out",
-                        successor -> apply(successor, order, Event.STALL, known.fence()));
+                        successor -> apply(successor, order, Event.STALL, current.fence()));
             }
         }
         for (int number = 0; number < WORKER_COUNT; number++) {
@@ -305,14 +305,15 @@
 
     private void submit(SystemState system, int order) {
         system.clientState[order] = 1;
-        OrderRecord known = system.memory[order];
-        if (known == null) {
+        OrderRecord current = system.memory[order];
+        if (current == null) {
             system.memory[order] = new OrderRecord(State.TAKEN, 0, -1);
             system.pendingWrites.add(new Write(order, system.memory[order], null, true));
             if (mutation == Mutation.ACKNOWLEDGE_BEFORE_WRITE) {
                 system.acknowledged[order] = true;
             }
-        } else if (known.state().ended() && system.pendingWrites.stream().noneMatch(write -> write.order() == order)) {
+        } else if (current.state().ended()
+                && system.pendingWrites.stream().noneMatch(write -> write.order() == order)) {
             // Answers with the kept outcome, whichever it is; an outcome that is not yet on disk is waited for.
             execute(system, order, Deed.ANSWER_FAILED);
         }
