--- a/src/main/java/plumpost/net/Connection.java
+++ b/src/main/java/plumpost/net/Connection.java
@@ -2,36 +2,39 @@
 
 import java.nio.ByteBuffer;
 
-/** One connection as a protocol's state machine sees it. */
+/** One connection, as offered to the {@link ConnectionHandler} that implements a protocol on it. */
 public interface Connection {
-    /** Writes the parts in order, now as far as they fit and the rest as soon as they do. */
+    /** Writes the parts in order: at once what the socket accepts, and the rest as soon as it accepts more. */
     void write(ByteBuffer... parts);
 
-    /** True when all that was given has been written. */
+    /** Returns whether everything passed to {@link #write} has been written to the socket. */
     boolean flushed();
 
-    /** The peer's address in numbers, or a dash where there is none. */
+    /** Returns the peer's numeric IP address, or {@code "-"} if it is unknown. */
     default String peer() {
         return "-";
     }
 
-    /** Ends the connection once all is written; its user hears no more of it. */
+    /** Closes the connection after all pending output has been written; its handler is not called any more. */
     void finish();
 
-    /** Ends the connection at once; its user hears no more of it. */
+    /** Closes the connection at once and discards pending output; its handler is not called any more. */
     void cut();
 
-    /** Takes in nothing more until {@link #resumeReading}; the peer finds its sending held up. */
+    /** Stops reading until {@link #resumeReading}, so that flow control stops the peer. */
     default void pauseReading() {}
 
-    /** Takes in again what comes; harmless where reading goes on. */
+    /** Resumes reading; has no effect if reading was not paused. */
     default void resumeReading() {}
 
-    /** How long what is read now may have waited, in milliseconds, because its connection could not be accepted; else 0. */
+    /**
+     * Returns for how many milliseconds the bytes that are being read may have waited because the connection could not be
+     * accepted, or 0 if accepting has not failed.
+     */
     default double waitedMs() {
         return 0;
     }
 
-    /** Takes in what has arrived already, so that an end that came is known before the next write. */
+    /** Reads what has already arrived, so that a close by the peer is noticed before the next write. */
     void look();
 }
--- a/src/main/java/plumpost/net/ConnectionHandler.java
+++ b/src/main/java/plumpost/net/ConnectionHandler.java
@@ -2,17 +2,17 @@
 
 import java.nio.ByteBuffer;
 
-/** A protocol's state machine: it is fed what comes over a {@link Connection}. */
+/** Implements a protocol on a {@link Connection}, which calls it on every event. */
 public interface ConnectionHandler {
-    /** The connection is up. */
+    /** Called when the connection is established. */
     default void opened() {}
 
-    /** Bytes came; the user takes all of them. */
+    /** Called with the bytes received; the handler consumes all of them. */
     void bytes(ByteBuffer in);
 
-    /** All that was given to write has been written. */
+    /** Called when all output has been written to the socket. */
     default void flushed() {}
 
-    /** The peer ended the connection, it broke, or it never came up. Nothing comes after this. */
+    /** Called when the peer closed the connection, it failed, or it was never established; no call follows. */
     void ended();
 }
--- a/src/main/java/plumpost/net/LoopContext.java
+++ b/src/main/java/plumpost/net/LoopContext.java
@@ -7,18 +7,18 @@
 import plumpost.time.UnixTime;
 
 /**
- * What every protocol's side works with.
+ * The services of one event loop that protocol implementations share.
  *
- * @param network where connections come from
- * @param clock time for spans
- * @param unixTime Unix times that are read or written
- * @param wheel timers by the clock
- * @param counters counters by name
- * @param log takes log lines
+ * @param network opens outgoing connections
+ * @param clock the monotonic clock, for durations and deadlines
+ * @param unixTime converts Unix times that are received or sent
+ * @param wheel the timers, driven by the clock
+ * @param counters the counters, by name
+ * @param log receives log lines
  */
 public record LoopContext(
         Network network, Clock clock, UnixTime unixTime, TimerWheel wheel, Counters counters, Consumer<String> log) {
-    /** A context whose clock tells Unix time itself and never steps, as virtual ones do. */
+    /** Creates a context whose clock itself counts in Unix time and never steps, such as a virtual clock. */
     public LoopContext(Network network, Clock clock, TimerWheel wheel, Counters counters, Consumer<String> log) {
         this(network, clock, UnixTime.of(clock), wheel, counters, log);
     }
--- a/src/main/java/plumpost/net/Network.java
+++ b/src/main/java/plumpost/net/Network.java
@@ -3,8 +3,11 @@
 import java.net.InetSocketAddress;
 import java.util.function.Function;
 
-/** Where connections come from. */
+/** Opens outgoing connections. */
 public interface Network {
-    /** Begins to connect; the user hears {@link ConnectionHandler#opened} or {@link ConnectionHandler#ended}, never before this returns. */
+    /**
+     * Starts to connect. The handler's {@link ConnectionHandler#opened} or {@link ConnectionHandler#ended} is called later, never
+     * before this method returns.
+     */
     Connection dial(InetSocketAddress to, Function<Connection, ConnectionHandler> user);
 }
--- a/src/main/java/plumpost/net/SelectorLoop.java
+++ b/src/main/java/plumpost/net/SelectorLoop.java
@@ -20,65 +20,72 @@
 import plumpost.time.Clock;
 import plumpost.time.TimerWheel;
 
-/** The thin driver: one thread, one selector, all sockets, and the timer wheel turned between them. */
+/** The event loop: one thread and one selector serve all sockets and advance the timer wheel. */
 public final class SelectorLoop implements Network {
-    private static final double LONGEST_SLEEP_MS = 500;
+    private static final double MAX_SLEEP_MS = 500;
     private static final double LINGER_MS = 500;
-    private static final double RETRY_MS = 50;
-    /** Newcomers that a listener takes in one turn: timers and other connections come between a flood of them. */
-    private static final int MOST_ACCEPTED = 64;
+    private static final double ACCEPT_RETRY_MS = 50;
+    /** Connections accepted by a listener per turn, so that a burst of them does not delay timers and other connections. */
+    private static final int MAX_ACCEPTS_PER_TURN = 64;
 
-    private static final int BUFFER = 64 * 1024;
-    private static final int MOST_UNREAD = 2 << 20;
-    /** What a read returns at the end of a connection. */
-    private static final int END = -1;
+    private static final int BUFFER_BYTES = 64 * 1024;
+    private static final int MAX_UNREAD_BYTES = 2 << 20;
+    /** Returned by a read at the end of the stream. */
+    private static final int END_OF_STREAM = -1;
 
-    private static final int LONGEST_ERROR_NAME = 40;
-    /** Accepting is tried again at {@link #RETRY_MS}: without another failure for so long, nobody waits from then on. */
-    private static final double FAILURE_FORGOTTEN_MS = 500;
+    private static final int MAX_ERROR_NAME_LENGTH = 40;
+    /**
+     * Accepting is retried every {@link #ACCEPT_RETRY_MS}; if it has not failed again for this long, no connection still waits
+     * because of the failure.
+     */
+    private static final double ACCEPT_FAILURE_EXPIRY_MS = 500;
 
-    /** Reads of a whole buffer at a close: more is a flood, whose sender may be reset. */
-    private static final int MOST_AWAY = 16;
+    /** Full-buffer reads that discard input at a close; a peer that has sent more may be reset. */
+    private static final int MAX_DISCARD_READS = 16;
 
     private final Selector selector;
     private final Clock clock;
     private final TimerWheel wheel;
     private final Counters counters;
     private final Consumer<String> log;
-    private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
-    private final ByteBuffer together = ByteBuffer.allocateDirect(BUFFER);
-    private final ArrayDeque<Socket> toWrite = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    /** Those of listeners that end in order, until they are closed. */
-    private final Set<Socket> ending = new LinkedHashSet<>();
+    private final ArrayDeque<ByteBuffer> readBuffers = new ArrayDeque<>();
+    private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final ArrayDeque<SocketConnection> batchedWrites = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> nextTurnTasks = new ArrayDeque<>();
+    /** Accepted connections that are finishing and not closed yet. */
+    private final Set<SocketConnection> finishingConnections = new LinkedHashSet<>();
 
-    private final ConcurrentLinkedQueue<Runnable> fromOutside = new ConcurrentLinkedQueue<>();
-    private double lookedAt;
+    private final ConcurrentLinkedQueue<Runnable> externalTasks = new ConcurrentLinkedQueue<>();
+    private double lastSelectMs;
 
-    /** A loop with no socket yet. */
+    /** Creates a loop without any socket. */
     public SelectorLoop(Clock clock, TimerWheel wheel, Counters counters, Consumer<String> log) throws IOException {
         this.selector = Selector.open();
         this.clock = clock;
         this.wheel = wheel;
         this.counters = counters;
         this.log = log;
-        this.lookedAt = clock.nowMs();
+        this.lastSelectMs = clock.nowMs();
     }
 
     /**
-     * Runs until told to stop, then ends all connections. One that was ended in order is waited for until its last
-     * bytes are written and its peer has had time to read them; whoever comes meanwhile is served first.
+     * Runs until the condition holds, then closes all connections. Connections that are finishing get up to
+     * {@link #LINGER_MS} to write their last bytes and let the peer read them; connections that arrive meanwhile are served
+     * first.
      */
-    public void run(BooleanSupplier until) throws IOException {
-        double over = Double.NaN;
-        for (boolean still = false; !still; ) {
-            while (!until.getAsBoolean()) {
-                over = Double.NaN;
-                turn(LONGEST_SLEEP_MS);
-            }
-            over = Double.isNaN(over) ? clock.nowMs() + LINGER_MS : over;
-            turn(ending.isEmpty() || clock.nowMs() >= over ? 0 : over - clock.nowMs()); // who is at the door already
-            still = until.getAsBoolean() && (ending.isEmpty() || clock.nowMs() >= over);
+    public void run(BooleanSupplier stopCondition) throws IOException {
+        double lingerEndMs = Double.NaN;
+        for (boolean stopped = false; !stopped; ) {
+            while (!stopCondition.getAsBoolean()) {
+                lingerEndMs = Double.NaN;
+                turn(MAX_SLEEP_MS);
+            }
+            lingerEndMs = Double.isNaN(lingerEndMs) ? clock.nowMs() + LINGER_MS : lingerEndMs;
+            turn(
+                    finishingConnections.isEmpty() || clock.nowMs() >= lingerEndMs
+                            ? 0
+                            : lingerEndMs - clock.nowMs()); // serves what is already in the backlog
+            stopped = stopCondition.getAsBoolean() && (finishingConnections.isEmpty() || clock.nowMs() >= lingerEndMs);
         }
         for (SelectionKey key : selector.keys()) {
             key.channel().close();
@@ -86,46 +93,51 @@
         selector.close();
     }
 
-    /** One turn: waits for sockets no longer than given or than until the next timer, and does what is due. */
-    public void turn(double longestMs) throws IOException {
-        double now = clock.nowMs();
-        double sleep = soon.isEmpty() ? wheel.quietUntil(now, longestMs) - now : 0;
-        if (sleep <= 0) {
+    /**
+     * Runs one turn: waits for socket events until the next timer is due or for at most the given time, then handles the
+     * events, timers, submitted tasks and batched writes.
+     */
+    public void turn(double maxWaitMs) throws IOException {
+        double nowMs = clock.nowMs();
+        double waitMs = nextTurnTasks.isEmpty() ? wheel.quietUntil(nowMs, maxWaitMs) - nowMs : 0;
+        if (waitMs <= 0) {
             selector.selectNow();
         } else {
-            selector.select((long) Math.ceil(sleep));
+            selector.select((long) Math.ceil(waitMs));
         }
-        double woke = clock.nowMs();
+        double selectedAtMs = clock.nowMs();
         for (SelectionKey key : selector.selectedKeys()) {
-            guarded(() -> ((Ready) key.attachment()).ready(key));
+            runGuarded(() -> ((ReadyHandler) key.attachment()).onReady(key));
         }
         selector.selectedKeys().clear();
-        lookedAt = woke;
-        guarded(() -> wheel.turnTo(clock.nowMs()));
-        for (Runnable r = fromOutside.poll(); r != null; r = fromOutside.poll()) {
-            guarded(r);
+        lastSelectMs = selectedAtMs;
+        runGuarded(() -> wheel.turnTo(clock.nowMs()));
+        for (Runnable task = externalTasks.poll(); task != null; task = externalTasks.poll()) {
+            runGuarded(task);
         }
-        for (int n = soon.size(); n > 0; n--) {
-            guarded(soon.poll());
+        for (int remaining = nextTurnTasks.size(); remaining > 0; remaining--) {
+            runGuarded(nextTurnTasks.poll());
         }
-        for (Socket s = toWrite.poll(); s != null; s = toWrite.poll()) {
-            guarded(s::writeOut);
+        for (SocketConnection connection = batchedWrites.poll();
+                connection != null;
+                connection = batchedWrites.poll()) {
+            runGuarded(connection::flushBatch);
         }
     }
 
-    /** How long ago sockets were last looked at: what is read now may have come that much earlier. */
+    /** Returns the time since the last selection in milliseconds; bytes read now may have arrived that much earlier. */
     public double lagMs() {
-        return clock.nowMs() - lookedAt;
+        return clock.nowMs() - lastSelectMs;
     }
 
-    /** Has something run on the loop's thread, from any thread. */
-    public void onLoop(Runnable what) {
-        fromOutside.add(what);
+    /** Runs a task on the loop's thread; may be called from any thread. */
+    public void onLoop(Runnable task) {
+        externalTasks.add(task);
         selector.wakeup();
     }
 
-    /** No peer's bytes and no fault of one connection may stop the loop. */
-    private void guarded(Runnable step) {
+    /** Runs a step and counts and logs its exceptions, so that no input and no faulty handler stops the loop. */
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException fault) {
@@ -135,424 +147,439 @@
         }
     }
 
-    /** An error of the system in a counter's name, such as {@code connection_reset_by_peer}; the JDK tells it in words. */
+    /**
+     * Returns an I/O error as part of a counter's name, such as {@code connection_reset_by_peer}. The JDK reports the system's
+     * error only in its message.
+     */
     private static String errorName(IOException e) {
-        String words = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
-        String name = words.toLowerCase(Locale.ROOT).replaceAll("[^a-z]+", "_");
-        return name.substring(0, Math.min(name.length(), LONGEST_ERROR_NAME));
+        String text = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+        String name = text.toLowerCase(Locale.ROOT).replaceAll("[^a-z]+", "_");
+        return name.substring(0, Math.min(name.length(), MAX_ERROR_NAME_LENGTH));
     }
 
-    private interface Ready {
-        void ready(SelectionKey key);
+    private interface ReadyHandler {
+        void onReady(SelectionKey key);
     }
 
     /**
-     * Listens; the returned handle ends that. Where a newcomer finds all places taken, {@code shed} may end one of the
-     * connections that matter least, and says whether it did.
+     * Listens at an address until the returned listener is closed. When a new connection finds the maximum reached,
+     * {@code shed} may close one of the least important connections, and returns whether it did.
      */
     public Listener listen(
-            InetSocketAddress at, Function<Connection, ConnectionHandler> users, int most, BooleanSupplier shed)
+            InetSocketAddress address,
+            Function<Connection, ConnectionHandler> handlers,
+            int maxConnections,
+            BooleanSupplier shed)
             throws IOException {
-        return listen(at, users, most, MOST_UNREAD, shed);
+        return listen(address, handlers, maxConnections, MAX_UNREAD_BYTES, shed);
     }
 
-    /** The same with a bound on the bytes that a peer may leave unread. */
+    /** Listens with a limit on the bytes queued for a peer that does not read them. */
     public Listener listen(
-            InetSocketAddress at,
-            Function<Connection, ConnectionHandler> users,
-            int most,
-            long unreadBytes,
+            InetSocketAddress address,
+            Function<Connection, ConnectionHandler> handlers,
+            int maxConnections,
+            long maxUnreadBytes,
             BooleanSupplier shed)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(at, 512);
-        return adopt(channel, users, most, unreadBytes, shed);
+        channel.bind(address, 512);
+        return adopt(channel, handlers, maxConnections, maxUnreadBytes, shed);
     }
 
     /**
-     * Serves a socket that listens already, such as one inherited from the platform and shared with another process:
-     * closing it here ends only this process's hold on it.
+     * Serves a socket that already listens, such as one inherited from the platform and shared with another process.
+     * Closing it here closes only this process's descriptor.
      */
     public Listener adopt(
             ServerSocketChannel channel,
-            Function<Connection, ConnectionHandler> users,
-            int most,
-            long unreadBytes,
+            Function<Connection, ConnectionHandler> handlers,
+            int maxConnections,
+            long maxUnreadBytes,
             BooleanSupplier shed)
             throws IOException {
         channel.configureBlocking(false);
-        return new Listener(channel, users, most, unreadBytes, shed);
+        return new Listener(channel, handlers, maxConnections, maxUnreadBytes, shed);
     }
 
     /**
-     * A listening socket; at most so many of its connections are open at once. A newcomer gets the place of one that
-     * has been answered for good and only lingers, else of one that its user sheds; else it waits in the backlog.
+     * A listening socket with a maximum of open connections. At the maximum a new connection replaces one that only
+     * lingers after its last answer, or else one that {@code shed} closes; otherwise it waits in the backlog.
      */
-    public final class Listener implements Ready {
+    public final class Listener implements ReadyHandler {
         private final ServerSocketChannel channel;
-        private final Function<Connection, ConnectionHandler> users;
-        private final int most;
-        private final long unreadBytes;
+        private final Function<Connection, ConnectionHandler> handlers;
+        private final int maxConnections;
+        private final long maxUnreadBytes;
         private final BooleanSupplier shed;
         private final SelectionKey key;
-        private final ArrayDeque<Socket> lingering = new ArrayDeque<>();
-        private int open;
-        private boolean batched;
-        /** Since when accepting fails, or NaN: who is accepted next may have stood in the backlog since then. */
-        private double failingSince = Double.NaN;
+        private final ArrayDeque<SocketConnection> lingeringConnections = new ArrayDeque<>();
+        private int openConnections;
+        private boolean batchesWrites;
+        /** When accepting began to fail, or NaN; connections accepted next may have waited in the backlog since then. */
+        private double acceptFailingSinceMs = Double.NaN;
 
-        private double failedAt;
+        private double lastAcceptFailureMs;
 
         private Listener(
                 ServerSocketChannel channel,
-                Function<Connection, ConnectionHandler> users,
-                int most,
-                long unreadBytes,
+                Function<Connection, ConnectionHandler> handlers,
+                int maxConnections,
+                long maxUnreadBytes,
                 BooleanSupplier shed)
                 throws IOException {
             this.channel = channel;
-            this.users = users;
-            this.most = most;
-            this.unreadBytes = unreadBytes;
+            this.handlers = handlers;
+            this.maxConnections = maxConnections;
+            this.maxUnreadBytes = maxUnreadBytes;
             this.shed = shed;
             key = channel.register(selector, SelectionKey.OP_ACCEPT, this);
         }
 
-        /** From here on what is written to its connections goes out once a turn: fewer calls, a turn later. */
+        /** Writes the output of its connections once a turn from now on: fewer system calls, up to one turn of delay. */
         public Listener batched() {
-            batched = true;
+            batchesWrites = true;
             return this;
         }
 
-        /** Where it listens. */
+        /** Returns the address at which it listens. */
         public InetSocketAddress address() {
             return (InetSocketAddress) channel.socket().getLocalSocketAddress();
         }
 
-        /** Takes no more connections. */
+        /** Stops accepting connections; those that are open stay open. */
         public void close() {
             try {
                 channel.close();
             } catch (IOException e) {
-                log.accept("closing a listener: " + e.getMessage());
+                log.accept("closing a listener failed: " + e.getMessage());
             }
         }
 
         @Override
-        public void ready(SelectionKey k) {
+        public void onReady(SelectionKey readyKey) {
             try {
-                for (int accepted = 0; accepted < MOST_ACCEPTED; accepted++) {
-                    SocketChannel newcomer = accept();
-                    if (newcomer == null) {
+                for (int accepted = 0; accepted < MAX_ACCEPTS_PER_TURN; accepted++) {
+                    SocketChannel acceptedChannel = acceptNext();
+                    if (acceptedChannel == null) {
                         if (accepted > 0) {
-                            failingSince = Double.NaN; // nobody waits any more
-                        } // else the call may have been interrupted, which the JDK tells in the same way
+                            acceptFailingSinceMs = Double.NaN; // the backlog is empty
+                        } // else the call may have been interrupted, which the JDK also reports as null
                         return;
                     }
-                    take(newcomer);
+                    openAccepted(acceptedChannel);
                 }
             } catch (IOException e) {
-                // Out of descriptors or the like: look again in a while instead of spinning on a ready key.
+                // Out of descriptors, for example: retries after a while instead of spinning on a ready key.
                 counters.count("net.accept_failed." + errorName(e));
-                failedAt = clock.nowMs();
-                failingSince = Double.isNaN(failingSince) ? failedAt - lagMs() : failingSince;
-                rest();
-                wheel.at(clock.nowMs() + RETRY_MS, this::wake);
+                lastAcceptFailureMs = clock.nowMs();
+                acceptFailingSinceMs =
+                        Double.isNaN(acceptFailingSinceMs) ? lastAcceptFailureMs - lagMs() : acceptFailingSinceMs;
+                pauseAccepting();
+                wheel.at(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
             }
         }
 
-        private void take(SocketChannel newcomer) throws IOException {
-            Socket s = new Socket(newcomer, this);
-            s.up(users.apply(s));
-            open++;
+        private void openAccepted(SocketChannel acceptedChannel) throws IOException {
+            SocketConnection connection = new SocketConnection(acceptedChannel, this);
+            connection.register(handlers.apply(connection));
+            openConnections++;
             counters.count("net.accepted");
-            s.user.opened();
-            s.waitedMs = waitedMs();
-            s.look(); // what a newcomer sent is known before anyone is shed for the next one
-            s.waitedMs = 0; // what comes later has not waited
+            connection.handler.opened();
+            connection.waitedMs = waitedMs();
+            connection.look(); // reads its first bytes before a connection is shed for the next one
+            connection.waitedMs = 0; // later bytes have not waited in the backlog
         }
 
-        /** How long a newcomer that is accepted now may have stood in the backlog because accepting failed. */
+        /** Returns how long a connection accepted now may have waited in the backlog because accepting failed. */
         private double waitedMs() {
-            double now = clock.nowMs();
-            if (Double.isNaN(failingSince) || now - failedAt > FAILURE_FORGOTTEN_MS) {
-                failingSince = Double.NaN;
+            double nowMs = clock.nowMs();
+            if (Double.isNaN(acceptFailingSinceMs) || nowMs - lastAcceptFailureMs > ACCEPT_FAILURE_EXPIRY_MS) {
+                acceptFailingSinceMs = Double.NaN;
                 return 0;
             }
-            return now - failingSince;
+            return nowMs - acceptFailingSinceMs;
         }
 
-        /** The next newcomer. The last place goes to one only when it is known who may leave for the one after. */
-        private SocketChannel accept() throws IOException {
-            if (open > most && !room()) {
+        /**
+         * Accepts the next connection, or returns null if there is none. Beyond the maximum it accepts only after another
+         * connection has been closed.
+         */
+        private SocketChannel acceptNext() throws IOException {
+            if (openConnections > maxConnections && !freePlace()) {
                 counters.count("net.full");
-                rest();
-                // Places that end by themselves wake it; one that may be shed only later is asked for again.
-                wheel.at(clock.nowMs() + RETRY_MS, this::wake);
+                pauseAccepting();
+                // A connection that closes resumes accepting; the timer retries for one that can be shed only later.
+                wheel.at(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
                 return null;
             }
             return channel.accept();
         }
 
-        private boolean room() {
-            if (!lingering.isEmpty()) {
-                lingering.peek().shut();
+        private boolean freePlace() {
+            if (!lingeringConnections.isEmpty()) {
+                lingeringConnections.peek().closeNow();
                 return true;
             }
             return shed.getAsBoolean();
         }
 
-        private void rest() {
+        private void pauseAccepting() {
             if (key.isValid()) {
                 key.interestOps(0);
             }
         }
 
-        private void wake() {
+        private void resumeAccepting() {
             if (key.isValid()) {
                 key.interestOps(SelectionKey.OP_ACCEPT);
             }
         }
 
-        private void left() {
-            open--;
-            wake();
+        private void connectionClosed() {
+            openConnections--;
+            resumeAccepting();
         }
     }
 
     @Override
-    public Connection dial(InetSocketAddress to, Function<Connection, ConnectionHandler> user) {
-        Socket s = new Socket(null, null);
-        s.user = user.apply(s);
+    public Connection dial(InetSocketAddress address, Function<Connection, ConnectionHandler> handlers) {
+        SocketConnection connection = new SocketConnection(null, null);
+        connection.handler = handlers.apply(connection);
         counters.count("net.dialled");
         try {
-            s.channel = SocketChannel.open();
-            s.channel.configureBlocking(false);
-            s.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            if (s.channel.connect(to)) {
-                s.key = s.channel.register(selector, SelectionKey.OP_READ, s);
-                soon.add(s::opened);
+            connection.channel = SocketChannel.open();
+            connection.channel.configureBlocking(false);
+            connection.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            if (connection.channel.connect(address)) {
+                connection.key = connection.channel.register(selector, SelectionKey.OP_READ, connection);
+                nextTurnTasks.add(connection::connectCompleted);
             } else {
-                s.key = s.channel.register(selector, SelectionKey.OP_CONNECT, s);
+                connection.key = connection.channel.register(selector, SelectionKey.OP_CONNECT, connection);
             }
         } catch (IOException | RuntimeException e) {
             counters.count("net.dial_failed." + (e instanceof IOException failed ? errorName(failed) : "other"));
-            soon.add(s::broken);
+            nextTurnTasks.add(connection::closeBroken);
         }
-        return s;
+        return connection;
     }
 
-    private final class Socket implements Connection, Ready {
+    private final class SocketConnection implements Connection, ReadyHandler {
         private SocketChannel channel;
-        private final Listener door;
+        private final Listener listener;
         private SelectionKey key;
-        private ConnectionHandler user;
-        private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-        private long unread;
+        private ConnectionHandler handler;
+        private final ArrayDeque<ByteBuffer> outgoing = new ArrayDeque<>();
+        private long unsentBytes;
         private boolean connected;
-        private boolean gone;
+        private boolean closed;
         private boolean finishing;
         private boolean paused;
-        private boolean written;
+        private boolean inBatch;
         private double waitedMs;
 
-        Socket(SocketChannel channel, Listener door) {
+        SocketConnection(SocketChannel channel, Listener listener) {
             this.channel = channel;
-            this.door = door;
+            this.listener = listener;
         }
 
-        private void up(ConnectionHandler by) throws IOException {
-            user = by;
+        private void register(ConnectionHandler newHandler) throws IOException {
+            handler = newHandler;
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             key = channel.register(selector, SelectionKey.OP_READ, this);
             connected = true;
         }
 
-        private void opened() {
-            if (!gone) {
+        private void connectCompleted() {
+            if (!closed) {
                 connected = true;
-                user.opened();
-                if (!gone) { // its user may have no use for it any more, and end it
-                    push();
+                handler.opened();
+                if (!closed) { // its handler may have closed it
+                    flushOutgoing();
                 }
             }
         }
 
         @Override
-        public void ready(SelectionKey k) {
-            if (gone || !k.isValid()) {
+        public void onReady(SelectionKey readyKey) {
+            if (closed || !readyKey.isValid()) {
                 return;
             }
             try {
-                if (k.isConnectable()) {
+                if (readyKey.isConnectable()) {
                     channel.finishConnect();
                     key.interestOps(SelectionKey.OP_READ);
-                    opened();
+                    connectCompleted();
                 }
-                if (!gone && k.isWritable()) {
-                    push();
+                if (!closed && readyKey.isWritable()) {
+                    flushOutgoing();
                 }
-                if (!gone && k.isReadable()) {
-                    take();
+                if (!closed && readyKey.isReadable()) {
+                    readAvailable();
                 }
             } catch (IOException e) {
-                broken();
+                closeBroken();
             } catch (RuntimeException | VirtualMachineError e) {
-                broken();
+                closeBroken();
                 throw new IllegalStateException("on a connection: " + e, e);
             }
         }
 
-        private void take() {
-            // A user may look at another connection while it reads: each reading has a buffer of its own.
-            ByteBuffer in = buffers.isEmpty()
-                    ? ByteBuffer.allocateDirect(BUFFER)
-                    : buffers.pop().clear();
+        private void readAvailable() {
+            // A handler may read another connection meanwhile, so each read uses a buffer of its own.
+            ByteBuffer buffer = readBuffers.isEmpty()
+                    ? ByteBuffer.allocateDirect(BUFFER_BYTES)
+                    : readBuffers.pop().clear();
             try {
-                int count = read(in);
-                if (count == END) {
-                    broken();
+                int count = read(buffer);
+                if (count == END_OF_STREAM) {
+                    closeBroken();
                 } else if (count > 0 && !finishing) {
-                    user.bytes(in.flip());
+                    handler.bytes(buffer.flip());
                 }
             } catch (RuntimeException | VirtualMachineError e) {
-                broken();
+                closeBroken();
                 throw new IllegalStateException("on a connection: " + e, e);
             } finally {
-                buffers.push(in);
+                readBuffers.push(buffer);
             }
         }
 
         /**
-         * Reads what has come: the count of bytes, or {@link #END}. The JDK tells an interrupted call (EINTR) by a count below
-         * that: nothing was read then, and the selector tells of the connection again.
+         * Reads what has arrived and returns the number of bytes, or {@link #END_OF_STREAM}. The JDK reports an interrupted call
+         * (EINTR) by a smaller number: nothing was read then, and the selector selects the connection again.
          */
-        private int read(ByteBuffer in) {
+        private int read(ByteBuffer buffer) {
             try {
-                int count = channel.read(in);
-                if (count < END) {
+                int count = channel.read(buffer);
+                if (count < END_OF_STREAM) {
                     counters.count("net.interrupted");
                     return 0;
                 }
                 return count;
             } catch (IOException e) {
                 counters.count("net.broken." + errorName(e));
-                return END;
+                return END_OF_STREAM;
             }
         }
 
         @Override
         public void look() {
-            if (connected && !gone && !paused) {
-                take();
+            if (connected && !closed && !paused) {
+                readAvailable();
             }
         }
 
         @Override
         public void write(ByteBuffer... parts) {
-            if (gone || finishing) {
+            if (closed || finishing) {
                 return;
             }
-            for (ByteBuffer p : parts) {
-                if (p.hasRemaining()) {
-                    out.add(p.duplicate());
-                    unread += p.remaining();
+            for (ByteBuffer part : parts) {
+                if (part.hasRemaining()) {
+                    outgoing.add(part.duplicate());
+                    unsentBytes += part.remaining();
                 }
             }
-            if (unread > (door == null ? MOST_UNREAD : door.unreadBytes)) {
-                // A peer that does not read what it asks for must not fill the memory.
+            if (unsentBytes > (listener == null ? MAX_UNREAD_BYTES : listener.maxUnreadBytes)) {
+                // A peer that does not read its answers must not exhaust the memory.
                 counters.count("net.unread");
-                soon.add(this::broken);
+                nextTurnTasks.add(this::closeBroken);
                 return;
             }
-            if (connected && (door == null || !door.batched)) {
-                push();
-            } else if (connected && !written) {
-                written = true;
-                toWrite.add(this);
+            if (connected && (listener == null || !listener.batchesWrites)) {
+                flushOutgoing();
+            } else if (connected && !inBatch) {
+                inBatch = true;
+                batchedWrites.add(this);
             }
         }
 
-        /** What was written since the last turn goes out in one call. */
-        private void writeOut() {
-            written = false;
-            if (!gone && !out.isEmpty()) {
-                push();
+        /** Writes the output collected since the last turn. */
+        private void flushBatch() {
+            inBatch = false;
+            if (!closed && !outgoing.isEmpty()) {
+                flushOutgoing();
             }
         }
 
-        private void push() {
+        private void flushOutgoing() {
             try {
-                while (!out.isEmpty()) {
-                    // One copy and one call for many small parts: a gathered write costs a copy and a call's part each.
-                    together.clear();
-                    for (ByteBuffer b : out) {
-                        if (!together.hasRemaining()) {
+                while (!outgoing.isEmpty()) {
+                    // Many small parts are copied into one buffer: a gathering write costs a copy and part of a call
+                    // for each.
+                    writeBuffer.clear();
+                    for (ByteBuffer part : outgoing) {
+                        if (!writeBuffer.hasRemaining()) {
                             break;
                         }
-                        together.put(b.slice(b.position(), Math.min(b.remaining(), together.remaining())));
+                        writeBuffer.put(
+                                part.slice(part.position(), Math.min(part.remaining(), writeBuffer.remaining())));
                     }
-                    boolean all = channel.write(together.flip()) == together.limit();
-                    sent(together.position());
-                    if (!all) {
-                        awaitEvents();
+                    boolean wroteAll = channel.write(writeBuffer.flip()) == writeBuffer.limit();
+                    advanceOutgoing(writeBuffer.position());
+                    if (!wroteAll) {
+                        updateInterestOps();
                         return;
                     }
                 }
-                awaitEvents();
+                updateInterestOps();
             } catch (IOException e) {
-                // The end is told from the loop, so that a caller is never called back inside its own write.
-                soon.add(this::broken);
+                // Reported by a later task, so that a handler is never called back inside its own write.
+                nextTurnTasks.add(this::closeBroken);
                 return;
             }
             if (finishing) {
                 linger();
             } else {
-                user.flushed();
+                handler.flushed();
             }
         }
 
-        private void sent(int bytes) {
-            unread -= bytes;
-            for (int left = bytes; left > 0; ) {
-                ByteBuffer b = out.peek();
-                int n = Math.min(left, b.remaining());
-                b.position(b.position() + n);
-                left -= n;
-                if (!b.hasRemaining()) {
-                    out.poll();
+        private void advanceOutgoing(int bytes) {
+            unsentBytes -= bytes;
+            for (int remaining = bytes; remaining > 0; ) {
+                ByteBuffer part = outgoing.peek();
+                int count = Math.min(remaining, part.remaining());
+                part.position(part.position() + count);
+                remaining -= count;
+                if (!part.hasRemaining()) {
+                    outgoing.poll();
                 }
             }
         }
 
-        /** Closing with unread bytes would reset the peer before it has read its answer: read on for a while. */
+        /**
+         * Shuts down the output and closes later. Closing with unread input would reset the connection before the peer has
+         * read its answer.
+         */
         private void linger() {
             try {
                 channel.shutdownOutput();
-                if (door != null) {
-                    door.lingering.add(this);
+                if (listener != null) {
+                    listener.lingeringConnections.add(this);
                 }
-                wheel.at(clock.nowMs() + LINGER_MS, this::shut);
+                wheel.at(clock.nowMs() + LINGER_MS, this::closeNow);
             } catch (IOException e) {
-                shut();
+                closeNow();
             }
         }
 
-        /** A close over unread bytes resets the peer, which then may not read what it was sent. */
-        private void readAway() {
-            ByteBuffer in = buffers.isEmpty()
-                    ? ByteBuffer.allocateDirect(BUFFER)
-                    : buffers.pop().clear();
+        /** Discards input before a close: unread input would reset the connection, and the peer might lose its answer. */
+        private void discardIncoming() {
+            ByteBuffer buffer = readBuffers.isEmpty()
+                    ? ByteBuffer.allocateDirect(BUFFER_BYTES)
+                    : readBuffers.pop().clear();
             try {
-                for (int i = 0; i < MOST_AWAY && channel.read(in) > 0; i++) {
-                    in.clear();
+                for (int i = 0; i < MAX_DISCARD_READS && channel.read(buffer) > 0; i++) {
+                    buffer.clear();
                 }
             } catch (IOException e) {
-                counters.count("net.reset"); // the peer was first
+                counters.count("net.reset"); // the peer has reset the connection
             } finally {
-                buffers.push(in);
+                readBuffers.push(buffer);
             }
         }
 
@@ -561,33 +588,33 @@
             return waitedMs;
         }
 
-        /** Has the selector tell of what this connection waits for now. */
-        private void awaitEvents() {
-            int events = (paused ? 0 : SelectionKey.OP_READ) | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE);
-            if (key.isValid() && key.interestOps() != events) {
-                key.interestOps(events);
+        /** Registers the events that this connection waits for. */
+        private void updateInterestOps() {
+            int interestOps = (paused ? 0 : SelectionKey.OP_READ) | (outgoing.isEmpty() ? 0 : SelectionKey.OP_WRITE);
+            if (key.isValid() && key.interestOps() != interestOps) {
+                key.interestOps(interestOps);
             }
         }
 
         @Override
         public void pauseReading() {
             paused = true;
-            if (connected && !gone) {
-                awaitEvents();
+            if (connected && !closed) {
+                updateInterestOps();
             }
         }
 
         @Override
         public void resumeReading() {
             paused = false;
-            if (connected && !gone) {
-                awaitEvents();
+            if (connected && !closed) {
+                updateInterestOps();
             }
         }
 
         @Override
         public boolean flushed() {
-            return connected && out.isEmpty();
+            return connected && outgoing.isEmpty();
         }
 
         @Override
@@ -599,56 +626,56 @@
 
         @Override
         public void finish() {
-            if (gone || finishing) {
+            if (closed || finishing) {
                 return;
             }
             finishing = true;
-            resumeReading(); // what comes is read away until the peer has seen the end
-            if (door != null) {
-                ending.add(this);
+            resumeReading(); // input is discarded until the peer has seen the end
+            if (listener != null) {
+                finishingConnections.add(this);
             }
             if (!connected) {
-                shut();
-            } else if (out.isEmpty()) {
+                closeNow();
+            } else if (outgoing.isEmpty()) {
                 linger();
             }
         }
 
         @Override
         public void cut() {
-            shut();
+            closeNow();
         }
 
-        private void broken() {
-            if (!gone) {
-                boolean tell = !finishing;
-                shut();
-                if (tell) {
-                    user.ended();
+        private void closeBroken() {
+            if (!closed) {
+                boolean notify = !finishing;
+                closeNow();
+                if (notify) {
+                    handler.ended();
                 }
             }
         }
 
-        private void shut() {
-            if (gone) {
+        private void closeNow() {
+            if (closed) {
                 return;
             }
-            gone = true;
-            out.clear();
-            ending.remove(this);
+            closed = true;
+            outgoing.clear();
+            finishingConnections.remove(this);
             try {
                 if (channel != null) {
-                    if (door != null) {
-                        readAway();
+                    if (listener != null) {
+                        discardIncoming();
                     }
                     channel.close();
                 }
             } catch (IOException e) {
-                log.accept("closing a connection: " + e.getMessage());
+                log.accept("closing a connection failed: " + e.getMessage());
             }
-            if (door != null) {
-                door.lingering.remove(this);
-                door.left();
+            if (listener != null) {
+                listener.lingeringConnections.remove(this);
+                listener.connectionClosed();
             }
         }
     }
