--- a/src/main/java/plumpost/http/AnswerReader.java
+++ b/src/main/java/plumpost/http/AnswerReader.java
@@ -2,27 +2,27 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads one answer after the other out of the bytes it is fed, by whole lines where wanted; knows no socket. */
+/** Parses consecutive HTTP answers from the bytes fed to it; the body can be read by lines. It does no I/O itself. */
 public final class AnswerReader {
     private final int bodyLimit;
     private Head head = new Head();
     private BodyReader body;
     private int status;
-    private boolean toEnd;
+    private boolean endsWithConnection;
 
-    /** A reader that holds at most so much of a body at a time. */
+    /** Creates a reader that buffers at most the given number of body bytes. */
     public AnswerReader(int bodyLimit) {
         this.bodyLimit = bodyLimit;
     }
 
-    /** Takes bytes up to the answer's end; true once it is whole. */
+    /** Consumes bytes up to the end of the answer; returns true once it is complete. */
     public boolean feed(ByteBuffer in) throws BadMessage {
         while (body == null) {
             if (!head.feed(in)) {
                 return false;
             }
-            String code = head.startPart(1);
-            if (!head.startPart(0).startsWith("HTTP/1.") || !code.matches("[1-5][0-9][0-9]")) {
+            String code = head.startLinePart(1);
+            if (!head.startLinePart(0).startsWith("HTTP/1.") || !code.matches("[1-5][0-9][0-9]")) {
                 throw new BadMessage(502, "malformed status line");
             }
             status = Integer.parseInt(code);
@@ -31,71 +31,74 @@
                 continue;
             }
             long framing = status == 204 || status == 304 ? 0 : head.framing();
-            toEnd = framing == -1;
-            body = new BodyReader(toEnd ? Long.MAX_VALUE : framing, bodyLimit);
+            endsWithConnection = framing == -1;
+            body = new BodyReader(endsWithConnection ? Long.MAX_VALUE : framing, bodyLimit);
         }
         return body.feed(in);
     }
 
-    /** The connection has ended; true where that makes whole an answer whose length was not told. */
+    /** Handles the end of the connection; returns true if that completes an answer without a stated length. */
     public boolean end() {
-        if (body != null && toEnd) {
-            body.end();
+        if (body != null && endsWithConnection) {
+            body.endOfStream();
             return true;
         }
         return false;
     }
 
-    /** True once the head has come. */
+    /** Returns whether the head is complete. */
     public boolean hasHead() {
         return body != null;
     }
 
-    /** The status. */
+    /** Returns the status code of the answer. */
     public int status() {
         return status;
     }
 
-    /** The head. */
+    /** Returns the head of the answer. */
     public Head head() {
         return head;
     }
 
-    /** What has come of the body. */
+    /** Returns the buffered part of the body. */
     public ByteBuffer body() {
-        return body.taken();
+        return body.bytes();
     }
 
-    /** The next whole line of the body without its end, which is then forgotten; null while there is none. */
+    /**
+     * Removes the next whole line from the buffered body and returns it without its line feed, or null if there is none yet. At
+     * the end of the body the rest counts as a line.
+     */
     public byte[] line() {
-        ByteBuffer in = body.taken();
+        ByteBuffer in = body.bytes();
         for (int i = 0; i < in.remaining(); i++) {
             if (in.get(i) == '\n') {
-                return cut(i, i + 1);
+                return copyAndDiscard(i, i + 1);
             }
         }
-        return body.whole() && in.hasRemaining() ? cut(in.remaining(), in.remaining()) : null;
+        return body.complete() && in.hasRemaining() ? copyAndDiscard(in.remaining(), in.remaining()) : null;
     }
 
-    /** What has come of the body since it was last taken. */
+    /** Removes the buffered part of the body and returns it. */
     public byte[] take() {
-        int n = body.taken().remaining();
-        return cut(n, n);
+        int length = body.bytes().remaining();
+        return copyAndDiscard(length, length);
     }
 
-    private byte[] cut(int end, int forget) {
-        byte[] line = new byte[end];
-        body.taken().get(line);
-        body.forget(forget);
-        return line;
+    private byte[] copyAndDiscard(int end, int discard) {
+        byte[] taken = new byte[end];
+        body.bytes().get(taken);
+        body.discard(discard);
+        return taken;
     }
 
-    /** Whether the connection can take another request after this answer. */
+    /** Returns whether the connection can carry another request after this answer. */
     public boolean keeps() {
-        return !toEnd && !head.closes(head.startPart(0));
+        return !endsWithConnection && !head.closes(head.startLinePart(0));
     }
 
-    /** Makes ready for the next answer. */
+    /** Prepares for the next answer. */
     public void next() {
         head = new Head();
         body = null;
--- a/src/main/java/plumpost/http/Answers.java
+++ b/src/main/java/plumpost/http/Answers.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Words heads of answers and plain text as bytes. */
+/** Encodes the heads of HTTP answers, and text as bytes. */
 public final class Answers {
     private static final Map<Integer, String> REASONS = Map.of(
             200,
@@ -30,13 +30,13 @@
 
     private Answers() {}
 
-    /** The head of an answer with a body of the given length; {@code fields} are whole lines. */
+    /** Returns the head of an answer with a body of the given length; {@code fields} are complete header lines with CR LF. */
     public static ByteBuffer head(int status, int length, boolean close, String fields) {
         return ascii("HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\nContent-Length: "
                 + length + "\r\n" + fields + (close ? "Connection: close\r\n\r\n" : "\r\n"));
     }
 
-    /** Text as the bytes of a message. */
+    /** Returns a text as bytes in ISO 8859-1. */
     public static ByteBuffer ascii(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/src/main/java/plumpost/http/BadMessage.java
+++ b/src/main/java/plumpost/http/BadMessage.java
@@ -1,17 +1,17 @@
 package plumpost.http;
 
-/** A message that breaks HTTP/1.1 or a limit; it carries the status that answers it. */
+/** Thrown for a message that violates HTTP/1.1 or exceeds a limit; carries the status code with which to answer it. */
 public final class BadMessage extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    BadMessage(int status, String words) {
-        super(words, null, false, false);
+    BadMessage(int status, String message) {
+        super(message, null, false, false);
         this.status = status;
     }
 
-    /** The status that answers the message. */
+    /** Returns the status code with which to answer the message. */
     public int status() {
         return status;
     }
--- a/src/main/java/plumpost/http/BodyReader.java
+++ b/src/main/java/plumpost/http/BodyReader.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Takes a message's body out of its framing: a stated length, chunks, or all until the connection ends. */
+/** Reads a message's body by its framing: a stated length, chunks, or everything until the connection ends. */
 final class BodyReader {
     private enum Step {
         SIZE,
@@ -17,132 +17,132 @@
         DONE
     }
 
-    private static final int TRAILER_LIMIT = 4096;
+    private static final int MAX_TRAILER_BYTES = 4096;
 
-    private final int limit;
+    private final int maxBytes;
     private final boolean chunked;
     private Step step;
-    private long left;
-    private int digits;
-    private int trailer;
-    private int trailerLine;
+    private long remaining;
+    private int sizeDigits;
+    private int trailerBytes;
+    private int trailerLineBytes;
     private byte[] body = new byte[0];
     private int length;
 
-    /** For a body of {@code framing} bytes, -2 in chunks, Long.MAX_VALUE until the end. */
-    BodyReader(long framing, int limit) throws BadMessage {
-        this.limit = limit;
+    /** Creates a reader for a body of {@code framing} bytes; -2 stands for chunks, Long.MAX_VALUE for the connection's end. */
+    BodyReader(long framing, int maxBytes) throws BadMessage {
+        this.maxBytes = maxBytes;
         chunked = framing == -2;
-        left = chunked ? 0 : framing;
+        remaining = chunked ? 0 : framing;
         step = chunked ? Step.SIZE : framing == 0 ? Step.DONE : Step.DATA;
-        if (framing > limit && framing != Long.MAX_VALUE) {
+        if (framing > maxBytes && framing != Long.MAX_VALUE) {
             throw new BadMessage(413, "body too large");
         }
     }
 
-    /** The connection has ended: a body without a stated length is whole by that. */
-    void end() {
-        if (left == Long.MAX_VALUE) {
+    /** Handles the end of the connection, which completes a body without a stated length. */
+    void endOfStream() {
+        if (remaining == Long.MAX_VALUE) {
             step = Step.DONE;
         }
     }
 
-    boolean whole() {
+    boolean complete() {
         return step == Step.DONE;
     }
 
-    /** The bytes taken so far. */
-    ByteBuffer taken() {
+    /** Returns the buffered bytes. */
+    ByteBuffer bytes() {
         return ByteBuffer.wrap(body, 0, length);
     }
 
-    /** Forgets the first bytes, which have been dealt with. */
-    void forget(int n) {
-        System.arraycopy(body, n, body, 0, length - n);
-        length -= n;
+    /** Drops the first bytes of the buffer, which have been processed. */
+    void discard(int count) {
+        System.arraycopy(body, count, body, 0, length - count);
+        length -= count;
     }
 
-    /** Takes what belongs to the body; true once it is whole. */
+    /** Consumes the bytes that belong to the body; returns true once it is complete. */
     boolean feed(ByteBuffer in) throws BadMessage {
         while (step != Step.DONE && in.hasRemaining()) {
             if (step == Step.DATA) {
-                data(in);
+                readData(in);
             } else {
-                framing(in.get());
+                readFraming(in.get());
             }
         }
-        return whole();
+        return complete();
     }
 
-    private void data(ByteBuffer in) throws BadMessage {
-        int n = (int) Math.min(left, in.remaining());
-        if (length + n > limit) {
+    private void readData(ByteBuffer in) throws BadMessage {
+        int count = (int) Math.min(remaining, in.remaining());
+        if (length + count > maxBytes) {
             throw new BadMessage(413, "body too large");
         }
-        if (length + n > body.length) {
-            long known = chunked || left == Long.MAX_VALUE ? 2L * (length + n) : length + left;
-            body = Arrays.copyOf(body, (int) Math.min(limit, Math.max(length + n, known)));
+        if (length + count > body.length) {
+            long capacity = chunked || remaining == Long.MAX_VALUE ? 2L * (length + count) : length + remaining;
+            body = Arrays.copyOf(body, (int) Math.min(maxBytes, Math.max(length + count, capacity)));
         }
-        in.get(body, length, n);
-        length += n;
-        left -= left == Long.MAX_VALUE ? 0 : n;
-        if (left == 0) {
+        in.get(body, length, count);
+        length += count;
+        remaining -= remaining == Long.MAX_VALUE ? 0 : count;
+        if (remaining == 0) {
             step = chunked ? Step.DATA_END : Step.DONE;
         }
     }
 
-    private void framing(byte b) throws BadMessage {
+    private void readFraming(byte next) throws BadMessage {
         switch (step) {
             case SIZE -> {
-                int digit = b < 0 ? -1 : Character.digit((char) b, 16);
-                if (digit >= 0 && digits < 7) {
-                    left = left << 4 | digit;
-                    digits++;
-                } else if (digits > 0 && (b == '\r' || b == ';' || b == ' ')) {
-                    step = b == '\r' ? Step.SIZE_END : Step.EXTENSION;
+                int digit = next < 0 ? -1 : Character.digit((char) next, 16);
+                if (digit >= 0 && sizeDigits < 7) {
+                    remaining = remaining << 4 | digit;
+                    sizeDigits++;
+                } else if (sizeDigits > 0 && (next == '\r' || next == ';' || next == ' ')) {
+                    step = next == '\r' ? Step.SIZE_END : Step.EXTENSION;
                 } else {
                     throw new BadMessage(400, "malformed chunk size");
                 }
             }
             case EXTENSION -> {
-                if (++trailer > TRAILER_LIMIT || b == '\n') {
+                if (++trailerBytes > MAX_TRAILER_BYTES || next == '\n') {
                     throw new BadMessage(400, "malformed chunk extension");
                 }
-                step = b == '\r' ? Step.SIZE_END : step;
+                step = next == '\r' ? Step.SIZE_END : step;
             }
             case SIZE_END -> {
-                expect(b, '\n');
-                digits = 0;
-                step = left == 0 ? Step.TRAILER : Step.DATA;
+                expect(next, '\n');
+                sizeDigits = 0;
+                step = remaining == 0 ? Step.TRAILER : Step.DATA;
             }
             case DATA_END -> {
-                expect(b, '\r');
+                expect(next, '\r');
                 step = Step.DATA_END_2;
             }
             case DATA_END_2 -> {
-                expect(b, '\n');
+                expect(next, '\n');
                 step = Step.SIZE;
             }
             case TRAILER -> {
-                if (++trailer > TRAILER_LIMIT) {
+                if (++trailerBytes > MAX_TRAILER_BYTES) {
                     throw new BadMessage(431, "trailer too large");
                 }
-                if (b == '\r') {
+                if (next == '\r') {
                     step = Step.TRAILER_END;
                 } else {
-                    trailerLine++;
+                    trailerLineBytes++;
                 }
             }
             default -> {
-                expect(b, '\n');
-                step = trailerLine == 0 ? Step.DONE : Step.TRAILER;
-                trailerLine = 0;
+                expect(next, '\n');
+                step = trailerLineBytes == 0 ? Step.DONE : Step.TRAILER;
+                trailerLineBytes = 0;
             }
         }
     }
 
-    private static void expect(byte b, char wanted) throws BadMessage {
-        if (b != wanted) {
+    private static void expect(byte actual, char expected) throws BadMessage {
+        if (actual != expected) {
             throw new BadMessage(400, "malformed chunk");
         }
     }
--- a/src/main/java/plumpost/http/Head.java
+++ b/src/main/java/plumpost/http/Head.java
@@ -6,11 +6,11 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The head of a message, parsed in place: the bytes as they came, and where its parts lie in them. */
+/** The head of a message, parsed in place: the received bytes and the offsets of the parts in them. */
 public final class Head {
-    private static final int LIMIT = 16 * 1024;
-    private static final int MOST_FIELDS = 96;
-    private static final Set<String> OF_THE_CONNECTION = Set.of(
+    private static final int MAX_BYTES = 16 * 1024;
+    private static final int MAX_FIELDS = 96;
+    private static final Set<String> HOP_BY_HOP_FIELDS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -21,46 +21,46 @@
             "expect",
             "content-length",
             "host");
-    private static final boolean[] TOKEN = new boolean[128];
+    private static final boolean[] TOKEN_CHARACTERS = new boolean[128];
 
     static {
         for (char c = '0'; c <= 'z'; c++) {
-            TOKEN[c] = Character.isLetterOrDigit(c);
+            TOKEN_CHARACTERS[c] = Character.isLetterOrDigit(c);
         }
         for (char c : "!#$%&'*+-.^_`|~".toCharArray()) {
-            TOKEN[c] = true;
+            TOKEN_CHARACTERS[c] = true;
         }
     }
 
     private byte[] bytes = new byte[512];
     private int length;
     private int lineStart;
-    private final int[] spots = new int[4 * MOST_FIELDS];
-    private int fields;
+    private final int[] fieldOffsets = new int[4 * MAX_FIELDS];
+    private int fieldCount;
     private int firstSpace;
     private int secondSpace;
     private int startEnd = -1;
-    private boolean whole;
+    private boolean complete;
 
-    /** Takes bytes up to the head's end; true once it is whole. */
+    /** Consumes bytes up to the end of the head; returns true once it is complete. */
     boolean feed(ByteBuffer in) throws BadMessage {
-        while (!whole && in.hasRemaining()) {
-            byte b = in.get();
+        while (!complete && in.hasRemaining()) {
+            byte next = in.get();
             if (length == bytes.length) {
-                if (length >= LIMIT) {
+                if (length >= MAX_BYTES) {
                     throw new BadMessage(431, "head too large");
                 }
-                bytes = Arrays.copyOf(bytes, Math.min(LIMIT, 2 * length));
+                bytes = Arrays.copyOf(bytes, Math.min(MAX_BYTES, 2 * length));
             }
-            bytes[length++] = b;
-            if (b == '\n') {
-                line();
+            bytes[length++] = next;
+            if (next == '\n') {
+                endLine();
             }
         }
-        return whole;
+        return complete;
     }
 
-    private void line() throws BadMessage {
+    private void endLine() throws BadMessage {
         int from = lineStart;
         int to = length - 2;
         if (to < from || bytes[to] != '\r') {
@@ -69,19 +69,19 @@
         lineStart = length;
         if (startEnd < 0) {
             if (to > from) {
-                startLine(from, to);
+                parseStartLine(from, to);
             } else {
                 length = 0;
-                lineStart = 0; // empty lines before a request are passed over
+                lineStart = 0; // empty lines before the start line are ignored
             }
         } else if (to == from) {
-            whole = true;
+            complete = true;
         } else {
             field(from, to);
         }
     }
 
-    private void startLine(int from, int to) throws BadMessage {
+    private void parseStartLine(int from, int to) throws BadMessage {
         startEnd = to;
         firstSpace = find((byte) ' ', from, to);
         secondSpace = firstSpace < 0 ? -1 : find((byte) ' ', firstSpace + 1, to);
@@ -101,16 +101,16 @@
             throw new BadMessage(400, "a field without a name");
         }
         for (int i = from; i < colon; i++) {
-            if (bytes[i] < 0 || !TOKEN[bytes[i]]) {
+            if (bytes[i] < 0 || !TOKEN_CHARACTERS[bytes[i]]) {
                 throw new BadMessage(400, "malformed field name");
             }
         }
         int start = colon + 1;
         int end = to;
-        while (start < end && blank(bytes[start])) {
+        while (start < end && isBlank(bytes[start])) {
             start++;
         }
-        while (end > start && blank(bytes[end - 1])) {
+        while (end > start && isBlank(bytes[end - 1])) {
             end--;
         }
         for (int i = start; i < end; i++) {
@@ -118,43 +118,43 @@
                 throw new BadMessage(400, "a control character in a field");
             }
         }
-        if (fields == MOST_FIELDS) {
+        if (fieldCount == MAX_FIELDS) {
             throw new BadMessage(431, "too many fields");
         }
-        int at = 4 * fields++;
-        spots[at] = from;
-        spots[at + 1] = colon;
-        spots[at + 2] = start;
-        spots[at + 3] = end;
+        int offset = 4 * fieldCount++;
+        fieldOffsets[offset] = from;
+        fieldOffsets[offset + 1] = colon;
+        fieldOffsets[offset + 2] = start;
+        fieldOffsets[offset + 3] = end;
     }
 
-    private static boolean blank(byte b) {
-        return b == ' ' || b == '\t';
+    private static boolean isBlank(byte character) {
+        return character == ' ' || character == '\t';
     }
 
-    private int find(byte what, int from, int to) {
+    private int find(byte wanted, int from, int to) {
         for (int i = from; i < to; i++) {
-            if (bytes[i] == what) {
+            if (bytes[i] == wanted) {
                 return i;
             }
         }
         return -1;
     }
 
-    /** True once any byte of a message has come. */
-    boolean begun() {
+    /** Returns whether any byte of the message has been received. */
+    boolean hasStarted() {
         return length > 0;
     }
 
-    /** The start line's first, second or third part, counted from 0. */
-    String startPart(int part) {
+    /** Returns the first, second or third part of the start line, counted from 0. */
+    String startLinePart(int part) {
         int from = part == 0 ? 0 : part == 1 ? firstSpace + 1 : secondSpace + 1;
         int to = part == 0 ? firstSpace : part == 1 && secondSpace >= 0 ? secondSpace : startEnd;
         return part == 2 && secondSpace < 0 ? "" : text(from, to);
     }
 
-    /** The start line's second part as it stands in the message. */
-    ByteBuffer startPartBytes() {
+    /** Returns the bytes of the start line's second part, the request target. */
+    ByteBuffer targetBytes() {
         int to = secondSpace < 0 ? startEnd : secondSpace;
         return ByteBuffer.wrap(bytes, firstSpace + 1, to - firstSpace - 1).slice();
     }
@@ -163,33 +163,33 @@
         return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** The value of the first field of a name, or null. */
+    /** Returns the value of the first field with a name, or null if there is none. */
     public String field(String name) {
-        int i = index(name, 0);
+        int i = indexOfField(name, 0);
         return i < 0 ? null : value(i);
     }
 
-    /** The value of the field of a name, or null where there is none or more than one. */
+    /** Returns the value of the only field with a name, or null if there is none or more than one. */
     public String only(String name) {
-        int i = index(name, 0);
-        return i < 0 || index(name, i + 1) >= 0 ? null : value(i);
+        int i = indexOfField(name, 0);
+        return i < 0 || indexOfField(name, i + 1) >= 0 ? null : value(i);
     }
 
     private String value(int i) {
-        return text(spots[4 * i + 2], spots[4 * i + 3]);
+        return text(fieldOffsets[4 * i + 2], fieldOffsets[4 * i + 3]);
     }
 
-    private int index(String name, int from) {
-        for (int i = from; i < fields; i++) {
-            int start = spots[4 * i];
-            if (spots[4 * i + 1] - start == name.length() && same(name, start)) {
+    private int indexOfField(String name, int first) {
+        for (int i = first; i < fieldCount; i++) {
+            int start = fieldOffsets[4 * i];
+            if (fieldOffsets[4 * i + 1] - start == name.length() && matchesIgnoreCase(name, start)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean same(String name, int start) {
+    private boolean matchesIgnoreCase(String name, int start) {
         for (int k = 0; k < name.length(); k++) {
             if ((bytes[start + k] | 32) != (name.charAt(k) | 32)) {
                 return false;
@@ -198,11 +198,11 @@
         return true;
     }
 
-    /** True where a field of this name lists the given word. */
-    public boolean lists(String name, String word) {
-        for (int i = index(name, 0); i >= 0; i = index(name, i + 1)) {
+    /** Returns whether a comma-separated field with this name contains a token, ignoring case. */
+    public boolean lists(String name, String token) {
+        for (int i = indexOfField(name, 0); i >= 0; i = indexOfField(name, i + 1)) {
             for (String part : value(i).split(",")) {
-                if (part.strip().equalsIgnoreCase(word)) {
+                if (part.strip().equalsIgnoreCase(token)) {
                     return true;
                 }
             }
@@ -210,35 +210,36 @@
         return false;
     }
 
-    /** Whether the message's sender ends the connection after it. */
+    /** Returns whether the sender closes the connection after this message. */
     public boolean closes(String version) {
         return version.equals("HTTP/1.0") || lists("Connection", "close");
     }
 
     /**
-     * The fields that go with the message to whoever serves it, as they came: not those of this connection or of the
-     * body's framing, nor those of the given names, which the sender of the next message words itself.
+     * Returns the field lines to forward with the message, unchanged. Hop-by-hop and framing fields are left out, and so are
+     * the given names in lower case, which the forwarder writes itself.
      */
-    public String passedOn(Set<String> reworded) {
-        StringBuilder all = new StringBuilder();
-        for (int i = 0; i < fields; i++) {
-            String name = text(spots[4 * i], spots[4 * i + 1]).toLowerCase(Locale.ROOT);
-            if (!OF_THE_CONNECTION.contains(name) && !reworded.contains(name) && !lists("Connection", name)) {
-                all.append(text(spots[4 * i], spots[4 * i + 3])).append("\r\n");
+    public String passedOn(Set<String> excluded) {
+        StringBuilder text = new StringBuilder();
+        for (int i = 0; i < fieldCount; i++) {
+            String name = text(fieldOffsets[4 * i], fieldOffsets[4 * i + 1]).toLowerCase(Locale.ROOT);
+            if (!HOP_BY_HOP_FIELDS.contains(name) && !excluded.contains(name) && !lists("Connection", name)) {
+                text.append(text(fieldOffsets[4 * i], fieldOffsets[4 * i + 3])).append("\r\n");
             }
         }
-        return all.toString();
+        return text.toString();
     }
 
-    /** The length of the body as the framing fields say it: -1 without such a field, -2 in chunks. */
+    /** Returns the length of the body by the framing fields: -1 without such a field, -2 for chunks. */
     long framing() throws BadMessage {
-        int lengthField = index("Content-Length", 0);
-        int coding = index("Transfer-Encoding", 0);
-        if (coding >= 0) {
+        int lengthField = indexOfField("Content-Length", 0);
+        int codingField = indexOfField("Transfer-Encoding", 0);
+        if (codingField >= 0) {
             if (lengthField >= 0) {
                 throw new BadMessage(400, "conflicting framing");
             }
-            if (!value(coding).equalsIgnoreCase("chunked") || index("Transfer-Encoding", coding + 1) >= 0) {
+            if (!value(codingField).equalsIgnoreCase("chunked")
+                    || indexOfField("Transfer-Encoding", codingField + 1) >= 0) {
                 throw new BadMessage(400, "unknown transfer coding");
             }
             return -2;
@@ -246,15 +247,19 @@
         if (lengthField < 0) {
             return -1;
         }
-        String said = value(lengthField);
-        for (int i = index("Content-Length", lengthField + 1); i >= 0; i = index("Content-Length", i + 1)) {
-            if (!value(i).equals(said)) {
+        String contentLength = value(lengthField);
+        for (int i = indexOfField("Content-Length", lengthField + 1);
+                i >= 0;
+                i = indexOfField("Content-Length", i + 1)) {
+            if (!value(i).equals(contentLength)) {
                 throw new BadMessage(400, "conflicting framing");
             }
         }
-        if (said.isEmpty() || said.length() > 18 || !said.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (contentLength.isEmpty()
+                || contentLength.length() > 18
+                || !contentLength.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new BadMessage(400, "malformed Content-Length");
         }
-        return Long.parseLong(said);
+        return Long.parseLong(contentLength);
     }
 }
--- a/src/main/java/plumpost/http/RequestReader.java
+++ b/src/main/java/plumpost/http/RequestReader.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads one request after the other out of the bytes it is fed; knows no socket. */
+/** Parses consecutive HTTP requests from the bytes fed to it; does no I/O itself. */
 public final class RequestReader {
     private final int bodyLimit;
     private Head head = new Head();
@@ -10,26 +10,26 @@
     private String method;
     private String version;
 
-    /** A reader that takes bodies up to a limit. */
+    /** Creates a reader that accepts bodies up to the given number of bytes. */
     public RequestReader(int bodyLimit) {
         this.bodyLimit = bodyLimit;
     }
 
-    /** Takes bytes up to the request's end; true once it is whole. */
+    /** Consumes bytes up to the end of the request; returns true once it is complete. */
     public boolean feed(ByteBuffer in) throws BadMessage {
         if (body == null) {
             if (!head.feed(in)) {
                 return false;
             }
-            method = head.startPart(0);
-            version = head.startPart(2);
+            method = head.startLinePart(0);
+            version = head.startLinePart(2);
             if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
                 throw new BadMessage(400, "unknown version");
             }
             if (version.equals("HTTP/1.1") && head.field("Host") == null) {
                 throw new BadMessage(400, "no Host");
             }
-            if (!head.startPart(1).startsWith("/")) {
+            if (!head.startLinePart(1).startsWith("/")) {
                 throw new BadMessage(400, "malformed target");
             }
             long framing = head.framing();
@@ -41,49 +41,52 @@
         return body.feed(in);
     }
 
-    /** True while a request has begun and is not whole. */
+    /** Returns whether a request has begun and is not complete. */
     public boolean midway() {
-        return head.begun() && (body == null || !body.whole());
+        return head.hasStarted() && (body == null || !body.complete());
     }
 
-    /** True where the client waits for a word before it sends the body. */
+    /** Returns whether the client waits for status 100 before it sends the body. */
     public boolean awaitsContinue() {
-        return body != null && !body.whole() && body.taken().remaining() == 0 && head.lists("Expect", "100-continue");
+        return body != null
+                && !body.complete()
+                && body.bytes().remaining() == 0
+                && head.lists("Expect", "100-continue");
     }
 
-    /** The request's head. */
+    /** Returns the head of the request. */
     public Head head() {
         return head;
     }
 
-    /** The method. */
+    /** Returns the request method. */
     public String method() {
         return method;
     }
 
-    /** Path and query as they came. */
+    /** Returns path and query, unchanged. */
     public ByteBuffer target() {
-        return head.startPartBytes();
+        return head.targetBytes();
     }
 
-    /** The path without the query. */
+    /** Returns the path without the query. */
     public String path() {
-        String target = head.startPart(1);
+        String target = head.startLinePart(1);
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The body. */
+    /** Returns the body. */
     public ByteBuffer body() {
-        return body.taken();
+        return body.bytes();
     }
 
-    /** Whether the client ends the connection after this request. */
+    /** Returns whether the client closes the connection after this request. */
     public boolean closes() {
         return head.closes(version);
     }
 
-    /** Makes ready for the next request; what the last one gave out stays valid. */
+    /** Prepares for the next request; buffers returned for the last one stay valid. */
     public void next() {
         head = new Head();
         body = null;
