--- a/src/main/java/plumpost/platform/AbsentLink.java
+++ b/src/main/java/plumpost/platform/AbsentLink.java
@@ -5,7 +5,7 @@
 import plumpost.dispatch.NodeLink;
 import plumpost.dispatch.Probe;
 
-/** The link to a node that is listed as gone without an address: nothing reaches it. */
+/** The link to a node that is listed as removed and without an address: every attempt and probe fails to connect. */
 enum AbsentLink implements NodeLink {
     LINK;
 
--- a/src/main/java/plumpost/platform/ClientConnection.java
+++ b/src/main/java/plumpost/platform/ClientConnection.java
@@ -16,229 +16,229 @@
 import plumpost.net.LoopContext;
 
 /**
- * One connection of a client: reads one request after the other, hands jobs to the core and writes their answers. Requests that
- * come ahead of an answer wait for it; past a limit the connection is not read until then.
+ * One connection of a client: reads requests one by one, submits jobs to the core and writes the answers. Pipelined requests
+ * are buffered until the current one is answered; above a limit, reading is paused until then.
  */
 final class ClientConnection implements ConnectionHandler, ReplyTo {
-    /** The rank of a connection that is never shed. */
-    static final int KEPT = -1;
+    /** The shed rank of a connection that must not be shed. */
+    static final int NEVER_SHED = -1;
 
-    private static final int BODY_LIMIT = 64 * 1024;
-    /** A request follows its connection at once: while places run short, one without is a stranger's after this. */
-    private static final double NEWCOMER_MS = 100;
-    /** While places run short, half a request is given up after this. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Clients send a request as soon as they have connected; without one after this time, a connection may be shed. */
+    private static final double FIRST_REQUEST_MS = 100;
+    /** A connection whose request has been incomplete for this long may be shed. */
     private static final double HALF_REQUEST_MS = 300;
 
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
     private final HttpFront front;
     private final DispatchCore core;
     private final LoopContext context;
     private final Connection connection;
-    private final RequestReader reader = new RequestReader(BODY_LIMIT);
-    /** The job whose answer the client waits for, or null. */
+    private final RequestReader reader = new RequestReader(MAX_BODY_BYTES);
+    /** The open job that the client waits for, or null. */
     private OpenJob job;
 
-    private double takenAtMs;
-    /** Bytes that came before the answer to the request ahead of them. */
-    private ByteBuffer ahead = NOTHING;
-    /** What is being read. */
-    private ByteBuffer from = ahead;
-    /** When a request began, an answer was written or the connection came, whichever was last. */
-    private double sinceMs;
-    /** A request is whole and has no answer yet. */
-    private boolean working;
-
-    private boolean reading;
-    private boolean over;
-    private boolean continued;
+    private double jobTakenAtMs;
+    /** Bytes received before the previous request was answered. */
+    private ByteBuffer pipelined = EMPTY;
+    /** The bytes being parsed. */
+    private ByteBuffer input = pipelined;
+    /** When a request last began, an answer was written or the connection was accepted. */
+    private double stateSinceMs;
+    /** Whether a complete request has no answer yet. */
+    private boolean requestOpen;
+
+    private boolean parsing;
+    private boolean closed;
+    private boolean continueSent;
     private boolean answered;
-    private boolean handsInJobs;
+    private boolean hasSubmittedJob;
 
     ClientConnection(HttpFront front, DispatchCore core, LoopContext context, Connection connection) {
         this.front = front;
         this.core = core;
         this.context = context;
         this.connection = connection;
-        sinceMs = nowMs();
+        stateSinceMs = nowMs();
     }
 
     private double nowMs() {
         return context.clock().nowMs();
     }
 
-    // ---- its state, for the front ----
+    // ---- state, for the front ----
 
-    /** A request is whole and has no answer yet. */
-    boolean working() {
-        return working;
+    /** Returns whether a complete request has no answer yet. */
+    boolean awaitsAnswer() {
+        return requestOpen;
     }
 
-    /** A request has begun and is not whole. */
-    boolean midway() {
+    /** Returns whether a request has begun and is not complete. */
+    boolean readingRequest() {
         return reader.midway();
     }
 
-    /** Nothing of a request is here. */
+    /** Returns whether there is neither an open request nor any byte of another. */
     boolean idle() {
-        return !working && !reader.midway() && !ahead.hasRemaining();
+        return !requestOpen && !reader.midway() && !pipelined.hasRemaining();
     }
 
-    /** Nothing has come on it yet. */
-    boolean silent() {
+    /** Returns whether nothing has been received on the connection yet. */
+    boolean neverUsed() {
         return idle() && !answered;
     }
 
-    /** Its client is to send something: the rest of a request, or a first one. */
-    boolean owesBytes() {
-        return !working && (reader.midway() || !answered);
+    /** Returns whether the client is expected to send the rest of a request, or its first one. */
+    boolean awaitsRequestBytes() {
+        return !requestOpen && (reader.midway() || !answered);
     }
 
-    /** All answers are written. */
+    /** Returns whether all answers have been written to the socket. */
     boolean answersWritten() {
         return connection.flushed();
     }
 
-    /** How long its state has been this one. */
-    double quietMs() {
-        return nowMs() - sinceMs;
+    /** Returns how long the connection has been in its current state, in milliseconds. */
+    double stateAgeMs() {
+        return nowMs() - stateSinceMs;
     }
 
     /**
-     * What is shed first while places run short: 0 for one that asked for something but handed no job in, 1 for one silent from
-     * the start, 2 for half a request, 3 for one that idles between jobs, whose client can tell and comes again; else
-     * {@link #KEPT}.
+     * Returns the rank by which connections are shed when too many are open, lowest first: 0 if it has sent requests but no
+     * job, 1 if it has sent nothing, 2 if its request is incomplete, 3 if it idles between jobs, since its client notices the
+     * close and reconnects; otherwise {@link #NEVER_SHED}.
      */
-    int rank() {
-        if (working || ahead.hasRemaining()) {
-            return KEPT;
+    int shedRank() {
+        if (requestOpen || pipelined.hasRemaining()) {
+            return NEVER_SHED;
         }
         if (reader.midway()) {
-            return quietMs() > HALF_REQUEST_MS ? 2 : KEPT;
+            return stateAgeMs() > HALF_REQUEST_MS ? 2 : NEVER_SHED;
         }
         if (!answered) {
-            return quietMs() > NEWCOMER_MS ? 1 : KEPT;
+            return stateAgeMs() > FIRST_REQUEST_MS ? 1 : NEVER_SHED;
         }
         if (!connection.flushed()) {
-            return KEPT;
+            return NEVER_SHED;
         }
-        return handsInJobs ? 3 : 0;
+        return hasSubmittedJob ? 3 : 0;
     }
 
     // ---- reading ----
 
     @Override
-    public void bytes(ByteBuffer in) {
-        if (working || ahead.hasRemaining()) {
-            keepForLater(in);
+    public void bytes(ByteBuffer received) {
+        if (requestOpen || pipelined.hasRemaining()) {
+            buffer(received);
         } else {
-            read(in);
+            read(received);
         }
     }
 
-    private void keepForLater(ByteBuffer in) {
-        ahead = ByteBuffer.allocate(ahead.remaining() + in.remaining())
-                .put(ahead)
-                .put(in)
+    private void buffer(ByteBuffer received) {
+        pipelined = ByteBuffer.allocate(pipelined.remaining() + received.remaining())
+                .put(pipelined)
+                .put(received)
                 .flip();
-        if (ahead.remaining() > BODY_LIMIT) {
-            // Closing would lose the job that is open: the client is to wait, as it would for a slow reader.
+        if (pipelined.remaining() > MAX_BODY_BYTES) {
+            // Closing would lose the open job, so flow control makes the client wait.
             context.counters().count("front.far_ahead");
             connection.pauseReading();
         }
     }
 
-    private void read(ByteBuffer in) {
-        reading = true;
-        from = in;
+    private void read(ByteBuffer received) {
+        parsing = true;
+        input = received;
         try {
-            while (!over && !working && hasMore()) {
+            while (!closed && !requestOpen && hasMore()) {
                 if (!reader.midway() && answered) {
-                    sinceMs = nowMs(); // a first request's time runs from the connection's start
+                    stateSinceMs = nowMs(); // the time of the first request counts from the connect
                 }
-                if (reader.feed(from)) {
-                    working = true;
-                    request();
-                } else if (!continued && reader.awaitsContinue()) {
-                    continued = true;
+                if (reader.feed(input)) {
+                    requestOpen = true;
+                    handleRequest();
+                } else if (!continueSent && reader.awaitsContinue()) {
+                    continueSent = true;
                     connection.write(Answers.ascii("HTTP/1.1 100 Continue\r\n\r\n"));
                 }
             }
         } catch (BadMessage e) {
-            refuseMalformed(e.status(), e.getMessage());
+            reject(e.status(), e.getMessage());
         } finally {
-            reading = false;
+            parsing = false;
         }
-        if (!over && working && from.hasRemaining()) {
-            keepForLater(from);
+        if (!closed && requestOpen && input.hasRemaining()) {
+            buffer(input);
         }
     }
 
-    /** Whether there is more to read: what came with the request before, then what came while that was looked at. */
+    /** Returns whether there are more bytes to parse: first those received with the last request, then those buffered since. */
     private boolean hasMore() {
-        if (!from.hasRemaining() && ahead.hasRemaining()) {
-            from = takeAhead();
+        if (!input.hasRemaining() && pipelined.hasRemaining()) {
+            input = takePipelined();
         }
-        return from.hasRemaining();
+        return input.hasRemaining();
     }
 
-    private ByteBuffer takeAhead() {
-        ByteBuffer next = ahead;
-        ahead = NOTHING;
+    private ByteBuffer takePipelined() {
+        ByteBuffer next = pipelined;
+        pipelined = EMPTY;
         connection.resumeReading();
         return next;
     }
 
     /**
-     * Whether the client has gone already: its end may have come with its request, to a connection that was
-     * accepted late or not read for a while. Its job would be dispatched before that is read otherwise.
+     * Returns whether the client has already disconnected. On a connection that was accepted or read late, the close may have
+     * arrived together with the request, and the job would otherwise be dispatched before the close is read.
      */
-    private boolean clientHasLeft() {
-        if (from.hasRemaining()) {
-            keepForLater(from); // before what the look brings
+    private boolean clientDisconnected() {
+        if (input.hasRemaining()) {
+            buffer(input); // ahead of the bytes that are read now
         }
-        if (!over) {
+        if (!closed) {
             connection.look();
         }
-        return over;
+        return closed;
     }
 
     // ---- requests ----
 
-    private void request() {
+    private void handleRequest() {
         context.counters().count("front.requests");
         String path = reader.path();
         switch (path) {
-            case "/health/ready" -> get(() -> answer(front.saysReady() ? 200 : 503, NOTHING, "", false));
-            case "/health/live" -> get(() -> answer(200, NOTHING, "", false));
+            case "/health/ready" -> requireGet(() -> answer(front.reportsReady() ? 200 : 503, EMPTY, "", false));
+            case "/health/live" -> requireGet(() -> answer(200, EMPTY, "", false));
             case "/counters" ->
-                get(() -> answer(200, Answers.ascii(context.counters().toString()), "", false));
-            default -> handIn(path);
+                requireGet(() -> answer(200, Answers.ascii(context.counters().toString()), "", false));
+            default -> submit(path);
         }
     }
 
-    private void get(Runnable then) {
+    private void requireGet(Runnable handler) {
         if (reader.method().equals("GET")) {
-            then.run();
+            handler.run();
         } else {
-            refuseMethod("GET");
+            rejectMethod("GET");
         }
     }
 
-    private void refuseMethod(String allowed) {
+    private void rejectMethod(String allowed) {
         context.counters().count("front.bad.405");
-        answer(405, NOTHING, "Allow: " + allowed + "\r\n", true);
+        answer(405, EMPTY, "Allow: " + allowed + "\r\n", true);
     }
 
-    private void handIn(String path) {
+    private void submit(String path) {
         int end = path.indexOf('/', 1);
         int classIndex = core.offered(path.substring(1, end < 0 ? path.length() : end));
         if (classIndex < 0) {
-            refuseMalformed(404, "no such class");
+            reject(404, "no such class");
             return;
         }
         if (!reader.method().equals("POST")) {
-            refuseMethod("POST");
+            rejectMethod("POST");
             return;
         }
         JobRequest request;
@@ -247,50 +247,50 @@
             double unreadMs = Math.max(front.unreadMs(), connection.waitedMs());
             request = JobRequestReader.read(reader, classIndex, jobClass, unreadMs);
         } catch (BadInput e) {
-            refuseMalformed(400, "malformed field: " + e.getMessage());
+            reject(400, "malformed field: " + e.getMessage());
             return;
         }
         if (core.entry(request.id()) != null) {
-            refuseMalformed(409, "a job of this id is open");
-        } else if (clientHasLeft()) {
+            reject(409, "a job of this id is open");
+        } else if (clientDisconnected()) {
             context.counters().count("front.gone_before");
-        } else if (front.takesNothing()) {
+        } else if (front.refusesJobs()) {
             context.counters().count("front.after_last_call");
             refused(0);
         } else {
-            handIn(request);
+            submit(request);
         }
     }
 
-    private void handIn(JobRequest request) {
-        front.clientCame();
-        handsInJobs = true;
-        takenAtMs = nowMs();
+    private void submit(JobRequest request) {
+        front.jobSubmitted();
+        hasSubmittedJob = true;
+        jobTakenAtMs = nowMs();
         OpenJob taken = core.take(request, this);
-        job = working ? taken : null; // it may have been answered while it was taken
-        if (over && job != null) {
-            core.gone(job, this); // it left while its job was being taken, before there was one to tell of
+        job = requestOpen ? taken : null; // the core may have answered it already
+        if (closed && job != null) {
+            core.gone(job, this); // the client left while the core was taking the job
         }
     }
 
-    /** Refuses what is no request, or none that can be served, and ends the connection. */
-    void refuseMalformed(int status, String why) {
+    /** Answers a request that is malformed or cannot be served with an error, and closes the connection. */
+    void reject(int status, String reason) {
         context.counters().count("front.bad." + status);
-        working = true;
-        answer(status, Answers.ascii(why), "", true);
+        requestOpen = true;
+        answer(status, Answers.ascii(reason), "", true);
     }
 
-    /** SIGKILL may come soon: the open job is answered, and half a request is refused. */
-    void endForLastCall() {
+    /** Answers the open job, or refuses an incomplete request, because SIGKILL may follow soon. */
+    void endForShutdown() {
         if (job != null) {
             context.log()
-                    .accept("last call: " + job.sheet().id() + " is answered, taken " + Math.round(nowMs() - takenAtMs)
-                            + " ms ago");
+                    .accept("last call: " + job.sheet().id() + " is answered, taken "
+                            + Math.round(nowMs() - jobTakenAtMs) + " ms ago");
             core.cutShort(job);
         } else if (reader.midway()) {
             context.counters().count("front.half_at_end");
-            working = true;
-            answer(503, NOTHING, "", true); // it was not taken, and may go elsewhere
+            requestOpen = true;
+            answer(503, EMPTY, "", true); // it was not accepted, so the client may send it elsewhere
         }
     }
 
@@ -303,15 +303,15 @@
 
     @Override
     public void refused(double retryAfterMs) {
-        String after = retryAfterMs <= 0
+        String retryAfterField = retryAfterMs <= 0
                 ? ""
                 : "Retry-After: " + String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000) + "\r\n";
-        answer(503, NOTHING, after, false);
+        answer(503, EMPTY, retryAfterField, false);
     }
 
     @Override
     public void failed() {
-        answer(500, NOTHING, "", false);
+        answer(500, EMPTY, "", false);
     }
 
     @Override
@@ -320,47 +320,47 @@
     }
 
     private void answer(int status, ByteBuffer body, String fields, boolean close) {
-        if (over) {
+        if (closed) {
             return;
         }
         context.counters().count("front.answers." + status);
-        // Requests that were read ahead are answered too before the connection ends.
-        boolean last = close || front.closesConnections() && !ahead.hasRemaining() || reader.closes();
-        working = false;
+        // Buffered requests are answered before the connection is closed.
+        boolean closing = close || front.closesConnections() && !pipelined.hasRemaining() || reader.closes();
+        requestOpen = false;
         answered = true;
-        continued = false;
+        continueSent = false;
         job = null;
-        sinceMs = nowMs();
-        connection.write(Answers.head(status, body.remaining(), last, fields), body.duplicate());
-        if (last) {
+        stateSinceMs = nowMs();
+        connection.write(Answers.head(status, body.remaining(), closing, fields), body.duplicate());
+        if (closing) {
             finish();
             return;
         }
         reader.next();
-        if (!reading && ahead.hasRemaining()) {
-            context.wheel().at(nowMs(), () -> read(takeAhead())); // not from within the core's answer to the last one
+        if (!parsing && pipelined.hasRemaining()) {
+            context.wheel().at(nowMs(), () -> read(takePipelined())); // not within the core's call for the last answer
         }
     }
 
-    // ---- the end ----
+    // ---- closing ----
 
-    /** Ends the connection once its answers are written. */
+    /** Closes the connection after its answers have been written. */
     void finish() {
         reportOpenJob();
-        over = true;
-        front.ended(this);
+        closed = true;
+        front.remove(this);
         connection.finish();
     }
 
-    /** Ends the connection at once. */
-    void drop() {
+    /** Closes the connection at once. */
+    void abort() {
         reportOpenJob();
-        over = true;
-        front.ended(this);
+        closed = true;
+        front.remove(this);
         connection.cut();
     }
 
-    /** Whatever closes this connection, its open job has its answer first. */
+    /** Tells the core that the connection is closed before its open job was answered. */
     private void reportOpenJob() {
         if (job != null) {
             core.closedUnanswered(job);
@@ -369,8 +369,8 @@
 
     @Override
     public void ended() {
-        over = true;
-        front.ended(this);
+        closed = true;
+        front.remove(this);
         if (job != null) {
             core.gone(job, this);
         }
--- a/src/main/java/plumpost/platform/DiscoveryCall.java
+++ b/src/main/java/plumpost/platform/DiscoveryCall.java
@@ -16,84 +16,85 @@
 import plumpost.time.TimerWheel;
 
 /**
- * One call for the node list: a request whose answer stays open and carries one JSON object for each change. It is over
- * after the first failure, or once it is closed; then its listener hears nothing more of it.
+ * One request for the node list, whose answer stays open and carries one JSON object for each change. The call ends with the
+ * first failure or when it is closed; after that its listener is not called any more.
  */
 final class DiscoveryCall implements ConnectionHandler {
-    /** Asks for the whole list, in place of what changed since a version. */
+    /** In place of a version: requests the whole list rather than the changes since a version. */
     static final long WHOLE_LIST = -1;
-    /** The protocol sends an empty line every 2 s: an open answer without a byte for longer has lost its connection. */
-    private static final double SILENCE_MS = 2_500;
-    /** A service that has not accepted the connection by now cannot be reached: it answers in turn, but accepts at once. */
+    /** Discovery sends an empty line every 2 s; an open answer without any byte for this long has lost its connection. */
+    private static final double MAX_SILENCE_MS = 2_500;
+    /** The connect timeout. Discovery queues requests but accepts connections at once, so a slow one is unreachable. */
     private static final double CONNECT_TIMEOUT_MS = 1_000;
-    /** After an empty line at the start the changes may still follow; without any for so long there are none. */
+    /** Changes may still follow an empty line at the start of the answer; if none has come after this time, there are none. */
     private static final double NO_CHANGES_MS = 250;
-    /** One object of a list may take up this part of the heap, so that reading it cannot exhaust the process. */
-    private static final long HEAP_PARTS = 8;
+    /** One list object may take up the heap size divided by this, so that reading it cannot exhaust the memory. */
+    private static final long MAX_LIST_HEAP_DIVISOR = 8;
 
-    private static final int SMALLEST_LIST_LIMIT = 1 << 20;
+    private static final int MIN_LIST_LIMIT_BYTES = 1 << 20;
 
-    /** Why a call is over. */
+    /** The reason for which a call has failed. */
     enum Failure {
-        /** The connection was refused or did not come up in time: discovery cannot be reached. */
+        /** The connection was refused or not established in time: discovery cannot be reached. */
         UNREACHABLE,
-        /** Discovery answered with another status than 200. */
+        /** Discovery answered with a status other than 200. */
         REFUSED,
-        /** The connection or the answer ended. */
+        /** The connection was closed or the answer ended. */
         ENDED,
-        /** What came is no node list. */
+        /** The answer is not a valid node list. */
         MALFORMED,
-        /** The changes are numbered below the version that was asked for: the service counts anew. */
+        /** The changes are numbered below the requested version: the service has restarted its numbering. */
         VERSION_WENT_BACK
     }
 
-    /** Hears what one call brings. */
+    /** Receives the events of a call. */
     interface Listener {
-        /** The answer has begun. */
+        /** The first byte of the answer's body has arrived. */
         void answered(DiscoveryCall call);
 
-        /** The answer began with an empty line: nothing has changed since the version that was asked for. */
+        /** The answer began with an empty line: nothing has changed since the requested version. */
         void unchanged(DiscoveryCall call);
 
-        /** A whole list or changes; {@code text} is the object as it came. */
+        /** A whole list or changes have arrived; {@code text} is the JSON object as received. */
         void listed(DiscoveryCall call, NodeListReader.Listing listing, String text);
 
-        /** Nothing has come for longer than the protocol allows; the call stays open. */
+        /** Nothing has arrived for longer than the protocol allows; the call stays open. */
         void silent(DiscoveryCall call);
 
-        /** The call is over; {@code detail} is for the log. */
+        /** The call has failed and ended; {@code detail} is for the log. */
         void failed(DiscoveryCall call, Failure failure, String detail);
     }
 
-    private final LoopContext kit;
+    private final LoopContext context;
     private final NodeListReader reader;
     private final Listener listener;
     private final InetSocketAddress service;
     private final long since;
-    private final AnswerReader answer;
+    private final AnswerReader response;
     private final ObjectStream objects;
     private final Connection connection;
     private TimerWheel.Timer silenceTimer;
-    private double heardAt;
+    private double lastReceivedMs;
     private boolean connected;
     private boolean answered;
     private boolean listed;
-    private boolean over;
+    private boolean closed;
 
-    /** Opens a call for what changed after the version {@code since}, or for {@link #WHOLE_LIST}. */
-    DiscoveryCall(LoopContext kit, NodeListReader reader, InetSocketAddress service, long since, Listener listener) {
-        this.kit = kit;
+    /** Opens a call for the changes after the version {@code since}, or for {@link #WHOLE_LIST}. */
+    DiscoveryCall(
+            LoopContext context, NodeListReader reader, InetSocketAddress service, long since, Listener listener) {
+        this.context = context;
         this.reader = reader;
         this.service = service;
         this.since = since;
         this.listener = listener;
-        int limit = (int) Math.min(
+        int maxListBytes = (int) Math.min(
                 Integer.MAX_VALUE,
-                Math.max(SMALLEST_LIST_LIMIT, Runtime.getRuntime().maxMemory() / HEAP_PARTS));
-        answer = new AnswerReader(limit);
-        objects = new ObjectStream("a list", limit);
-        connection = kit.network().dial(service, opened -> this);
-        kit.wheel().at(kit.clock().nowMs() + CONNECT_TIMEOUT_MS, this::checkConnected);
+                Math.max(MIN_LIST_LIMIT_BYTES, Runtime.getRuntime().maxMemory() / MAX_LIST_HEAP_DIVISOR));
+        response = new AnswerReader(maxListBytes);
+        objects = new ObjectStream("a list", maxListBytes);
+        connection = context.network().dial(service, opened -> this);
+        context.wheel().at(context.clock().nowMs() + CONNECT_TIMEOUT_MS, this::checkConnected);
     }
 
     private void checkConnected() {
@@ -102,7 +103,7 @@
         }
     }
 
-    /** Whether a list or changes have come. */
+    /** Returns whether a list or changes have arrived. */
     boolean hasListed() {
         return listed;
     }
@@ -116,50 +117,50 @@
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
+    public void bytes(ByteBuffer received) {
         try {
-            boolean complete = answer.feed(in);
-            if (!answer.hasHead()) {
+            boolean complete = response.feed(received);
+            if (!response.hasHead()) {
                 return;
             }
-            if (answer.status() != 200) {
-                fail(Failure.REFUSED, "status " + answer.status());
+            if (response.status() != 200) {
+                fail(Failure.REFUSED, "status " + response.status());
                 return;
             }
-            body(answer.take());
+            readBody(response.take());
             if (complete) {
                 fail(Failure.ENDED, "ended");
             }
         } catch (BadMessage | BadInput e) {
-            kit.counters().count("list.malformed");
+            context.counters().count("list.malformed");
             fail(Failure.MALFORMED, "malformed: " + e.getMessage());
         }
     }
 
-    private void body(byte[] fresh) {
-        if (fresh.length == 0) {
+    private void readBody(byte[] received) {
+        if (received.length == 0) {
             return;
         }
-        heardAt = kit.clock().nowMs();
+        lastReceivedMs = context.clock().nowMs();
         if (!answered) {
             answered = true;
             watchForSilence();
             if (since != WHOLE_LIST) {
-                kit.wheel().at(heardAt + NO_CHANGES_MS, this::checkUnchanged);
+                context.wheel().at(lastReceivedMs + NO_CHANGES_MS, this::checkUnchanged);
             }
             listener.answered(this);
         }
-        objects.feed(fresh, this::object);
+        objects.feed(received, this::readListing);
     }
 
     private void checkUnchanged() {
-        if (!over && !listed && !objects.midway()) {
+        if (!closed && !listed && !objects.midway()) {
             listener.unchanged(this);
         }
     }
 
-    private void object(Json.Fields fields, byte[] text) {
-        if (over) {
+    private void readListing(Json.Fields fields, byte[] text) {
+        if (closed) {
             return;
         }
         NodeListReader.Listing listing = reader.read(fields);
@@ -172,8 +173,8 @@
     }
 
     private void watchForSilence() {
-        silenceTimer = kit.wheel().at(heardAt + SILENCE_MS, () -> {
-            if (kit.clock().nowMs() - heardAt >= SILENCE_MS) {
+        silenceTimer = context.wheel().at(lastReceivedMs + MAX_SILENCE_MS, () -> {
+            if (context.clock().nowMs() - lastReceivedMs >= MAX_SILENCE_MS) {
                 listener.silent(this);
             } else {
                 watchForSilence();
@@ -187,15 +188,15 @@
     }
 
     private void fail(Failure failure, String detail) {
-        if (!over) {
+        if (!closed) {
             close();
             listener.failed(this, failure, detail);
         }
     }
 
-    /** Ends the call; its listener hears nothing more. */
+    /** Closes the call; its listener is not called any more. */
     void close() {
-        over = true;
+        closed = true;
         if (silenceTimer != null) {
             silenceTimer.cancel();
         }
--- a/src/main/java/plumpost/platform/HttpFront.java
+++ b/src/main/java/plumpost/platform/HttpFront.java
@@ -10,63 +10,63 @@
 import plumpost.net.LoopContext;
 
 /**
- * The thin front for the platform's protocol: clients hand jobs in by HTTP and wait for the answer. It keeps their connections,
- * ends those that are slow or idle, and leads all of them through the shutdown.
+ * The HTTP front for the platform's protocol, on which clients submit jobs and wait for the answers. It keeps track of their
+ * connections, closes slow and idle ones, and shuts all of them down in steps.
  */
 final class HttpFront {
-    /** A whole request is due so long after its first byte, and a first byte so long after connecting. */
-    private static final double SLOW_MS = 2_000;
-    /** An answer that its client does not read for so long is given up. */
-    private static final double UNREAD_ANSWER_MS = 10_000;
+    /** The time for a complete request after its first byte, and for the first byte after the connect. */
+    private static final double MAX_REQUEST_MS = 2_000;
+    /** A connection whose client has not read its answer for this long is closed. */
+    private static final double MAX_UNREAD_ANSWER_MS = 10_000;
 
-    private static final double IDLE_MS = 60_000;
-    private static final double SWEEP_MS = 250;
+    private static final double MAX_IDLE_MS = 60_000;
+    private static final double SWEEP_INTERVAL_MS = 250;
 
     private final DispatchCore core;
     private final LoopContext context;
     private final UnreadTime unreadTime;
-    private final NodeListWatch list;
+    private final NodeListWatch nodeListWatch;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private boolean ready;
-    /** Whether anybody was told that this process is ready. */
-    private boolean saidReady;
+    /** Whether any health check has been answered with ready. */
+    private boolean reportedReady;
 
     private boolean stopping;
     private boolean closingIdle;
-    private boolean lastCallOver;
+    private boolean lastCallDone;
 
-    /** How long bytes that are read now may have lain unread. */
+    /** Supplies how long bytes that are read now may have waited unread. */
     interface UnreadTime {
-        /** That time in milliseconds. */
-        double ms();
+        /** Returns that time in milliseconds. */
+        double milliseconds();
     }
 
-    HttpFront(DispatchCore core, LoopContext context, UnreadTime unreadTime, NodeListWatch list) {
+    HttpFront(DispatchCore core, LoopContext context, UnreadTime unreadTime, NodeListWatch nodeListWatch) {
         this.core = core;
         this.context = context;
         this.unreadTime = unreadTime;
-        this.list = list;
-        context.wheel().at(context.clock().nowMs() + SWEEP_MS, this::sweep);
+        this.nodeListWatch = nodeListWatch;
+        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** Takes a connection in. */
+    /** Creates the handler of a new connection. */
     ConnectionHandler accept(Connection connection) {
         ClientConnection client = new ClientConnection(this, core, context, connection);
         connections.add(client);
         return client;
     }
 
-    /** From here on {@code /health/ready} says 200. */
+    /** Lets {@code /health/ready} answer 200 from now on. */
     void ready() {
         ready = true;
     }
 
-    // ---- the shutdown ----
+    // ---- shutdown ----
 
     /**
-     * Says no longer that it is ready; goes on serving whoever is connected for a while.
+     * Starts the shutdown: reports not ready at once, and keeps serving until the steps of the {@link ShutdownSchedule}.
      *
-     * @param heardAtMs when the process heard of SIGTERM, which it may do only now
+     * @param heardAtMs when the process handled SIGTERM, which may be before this call
      */
     void stop(double heardAtMs) {
         stopping = true;
@@ -74,16 +74,16 @@
                 .mapToDouble(JobClass::deadlineMs)
                 .max()
                 .orElse(0);
-        ShutdownSchedule schedule = ShutdownSchedule.of(heardAtMs, longestDeadlineMs);
+        ShutdownSchedule schedule = ShutdownSchedule.compute(heardAtMs, longestDeadlineMs);
         context.wheel().at(schedule.closeIdleAtMs(), this::closeIdle);
         context.wheel().at(schedule.lastCallAtMs(), this::lastCall);
     }
 
-    /** Closes idle connections, and ends the others with their next answer. */
+    /** Closes idle connections; the others are closed after their next answer. */
     private void closeIdle() {
         closingIdle = true;
         for (ClientConnection client : List.copyOf(connections)) {
-            client.look(); // a request that has come already is taken, not cut off
+            client.look(); // a request that has already arrived is served
             if (connections.contains(client) && client.idle()) {
                 client.finish();
             }
@@ -91,65 +91,65 @@
     }
 
     /**
-     * The end may come any moment: all that is open gets its answer now, whenever it was taken. When a request came is known
-     * less exactly than SIGKILL allows: the signal may have been heard late, and the request read late.
+     * Answers all open jobs, because SIGKILL may follow at any moment. The age of a job is not considered: the signal may have
+     * been handled late and the request read late, so its arrival time is not known exactly enough.
      */
     private void lastCall() {
-        lastCallOver = true;
+        lastCallDone = true;
         context.log().accept("last call: " + core.open() + " jobs open, " + connections.size() + " connections");
         for (ClientConnection client : List.copyOf(connections)) {
-            client.look(); // what has come already is read and refused, rather than left for SIGKILL to find
+            client.look(); // requests that have already arrived are read and refused, not lost by SIGKILL
             if (connections.contains(client)) {
-                client.endForLastCall();
+                client.endForShutdown();
             }
         }
     }
 
-    /** True when no client waits for anything. */
+    /** Returns whether idle connections are being closed and no client waits for an answer. */
     boolean quiet() {
         return closingIdle && connections.stream().allMatch(client -> client.idle() && client.answersWritten());
     }
 
-    // ---- connections that are slow, idle or in the way ----
+    // ---- slow, idle and shed connections ----
 
-    /** Ends what is slow, says nothing from the start, does not read its answer or has idled too long. */
+    /** Closes connections that are slow, have never sent anything, do not read their answer or have idled for too long. */
     private void sweep() {
-        context.wheel().at(context.clock().nowMs() + SWEEP_MS, this::sweep);
+        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
         for (ClientConnection client : List.copyOf(connections)) {
-            if (client.quietMs() > (client.owesBytes() ? SLOW_MS : IDLE_MS)) {
-                client.look(); // bytes that have come already are read first
+            if (client.stateAgeMs() > (client.awaitsRequestBytes() ? MAX_REQUEST_MS : MAX_IDLE_MS)) {
+                client.look(); // reads what has already arrived
             }
-            if (connections.contains(client) && !client.working()) {
+            if (connections.contains(client) && !client.awaitsAnswer()) {
                 sweep(client);
             }
         }
     }
 
     private void sweep(ClientConnection client) {
-        double quietMs = client.quietMs();
-        if (!client.answersWritten() && quietMs > UNREAD_ANSWER_MS) {
+        double quietMs = client.stateAgeMs();
+        if (!client.answersWritten() && quietMs > MAX_UNREAD_ANSWER_MS) {
             context.counters().count("front.unread");
-            client.drop();
-        } else if (client.midway() && quietMs > SLOW_MS) {
+            client.abort();
+        } else if (client.readingRequest() && quietMs > MAX_REQUEST_MS) {
             context.counters().count("front.slow");
-            client.refuseMalformed(408, "");
-        } else if (client.silent() && quietMs > SLOW_MS) {
+            client.reject(408, "");
+        } else if (client.neverUsed() && quietMs > MAX_REQUEST_MS) {
             context.counters().count("front.silent");
             client.finish();
-        } else if (client.idle() && quietMs > IDLE_MS) {
+        } else if (client.idle() && quietMs > MAX_IDLE_MS) {
             client.finish();
         }
     }
 
-    /** Ends the connection that matters least, so that a newcomer finds a place; false while each may matter. */
+    /** Closes the least important connection to make room for a new one; returns false if none may be closed. */
     boolean shed() {
-        for (ClientConnection client = least(); client != null; client = least()) {
+        for (ClientConnection client = leastImportant(); client != null; client = leastImportant()) {
             client.look();
             if (!connections.contains(client)) {
                 return true;
             }
-            if (client == least()) {
-                context.counters().count("front.shed." + client.rank());
+            if (client == leastImportant()) {
+                context.counters().count("front.shed." + client.shedRank());
                 client.finish();
                 return true;
             }
@@ -157,52 +157,53 @@
         return false;
     }
 
-    private ClientConnection least() {
+    private ClientConnection leastImportant() {
         ClientConnection least = null;
         for (ClientConnection client : connections) {
-            int rank = client.rank();
-            if (rank != ClientConnection.KEPT && (least == null || before(client, least))) {
+            int rank = client.shedRank();
+            if (rank != ClientConnection.NEVER_SHED && (least == null || shedBefore(client, least))) {
                 least = client;
             }
         }
         return least;
     }
 
-    private static boolean before(ClientConnection one, ClientConnection other) {
-        return one.rank() < other.rank() || one.rank() == other.rank() && one.quietMs() > other.quietMs();
+    private static boolean shedBefore(ClientConnection one, ClientConnection other) {
+        return one.shedRank() < other.shedRank()
+                || one.shedRank() == other.shedRank() && one.stateAgeMs() > other.stateAgeMs();
     }
 
-    // ---- what its connections ask ----
+    // ---- for its connections ----
 
-    /** Whether {@code /health/ready} is to say yes; whoever hears that knows of this process. */
-    boolean saysReady() {
-        boolean yes = ready && !stopping && list.primed();
-        saidReady |= yes;
-        return yes;
+    /** Returns whether {@code /health/ready} is to answer 200, and records that it did. */
+    boolean reportsReady() {
+        boolean isReady = ready && !stopping && nodeListWatch.mayServe();
+        reportedReady |= isReady;
+        return isReady;
     }
 
-    /** A client hands a job in. */
-    void clientCame() {
-        if (!saidReady) {
-            list.clientsStillCome();
+    /** Called for each submitted job; before the first ready report, lets the saved node list be used. */
+    void jobSubmitted() {
+        if (!reportedReady) {
+            nodeListWatch.jobSubmittedBeforeReady();
         }
     }
 
-    /** Whether answers end their connections. */
+    /** Returns whether each answer closes its connection. */
     boolean closesConnections() {
         return closingIdle;
     }
 
-    /** Whether nothing more is taken: SIGKILL may come before its answer. */
-    boolean takesNothing() {
-        return lastCallOver;
+    /** Returns whether no more jobs are accepted, because SIGKILL may come before their answer. */
+    boolean refusesJobs() {
+        return lastCallDone;
     }
 
     double unreadMs() {
-        return unreadTime.ms();
+        return unreadTime.milliseconds();
     }
 
-    void ended(ClientConnection client) {
+    void remove(ClientConnection client) {
         connections.remove(client);
     }
 }
--- a/src/main/java/plumpost/platform/JobRequestReader.java
+++ b/src/main/java/plumpost/platform/JobRequestReader.java
@@ -12,10 +12,10 @@
 import plumpost.http.RequestReader;
 import plumpost.time.TimerWheel;
 
-/** Reads a job out of a client's HTTP request, by the protocol page's header fields. */
+/** Reads a job from a client's HTTP request, by the header fields of the protocol page. */
 final class JobRequestReader {
-    /** Fields that a link to a worker words itself; all others pass on, such as the key under which it drops repeats. */
-    private static final Set<String> REWORDED = Set.of("x-txn", "x-lane", "x-remaining-ms");
+    /** Fields that a link to a worker writes itself; all others are forwarded, such as the key by which workers drop repeats. */
+    private static final Set<String> REPLACED_FIELDS = Set.of("x-txn", "x-lane", "x-remaining-ms");
 
     private static final String ID = "X-Txn";
     private static final String CLASS = "X-Lane";
@@ -23,39 +23,39 @@
     private static final String ESTIMATE = "X-Estimate";
     private static final String LABELS = "X-Labels";
     private static final String RETRY = "X-Resent";
-    private static final String KEY_COOKIE = "obj=";
-    /** What a worker could read or say back otherwise is no id. */
-    private static final String ID_FORM = "[!-~]{1,128}";
+    private static final String KEY_COOKIE_PREFIX = "obj=";
+    /** The form of ids that a worker reads and returns unchanged: printable ASCII without spaces. */
+    private static final String ID_PATTERN = "[!-~]{1,128}";
 
-    private static final double MOST_SLOTS = 64;
+    private static final double MAX_SLOTS = 64;
     private static final double MICROS_PER_MS = 1000.0;
 
     private JobRequestReader() {}
 
     /**
-     * The job of a whole request; {@link BadInput} names the field that is malformed, and its value.
+     * Returns the job of a complete request; a {@link BadInput} names the malformed field and its value.
      *
      * @param request the request
-     * @param classIndex its class, as its path names it
-     * @param jobClass that class in the settings in force
-     * @param unreadMs how long the request may have lain unread: its client's time runs since then
+     * @param classIndex the index of the class that the path names
+     * @param jobClass that class in the current settings
+     * @param unreadMs how long the request may have waited unread; it is subtracted from the client's remaining time
      */
     static JobRequest read(RequestReader request, int classIndex, JobClass jobClass, double unreadMs) {
         Head head = request.head();
         String id = head.only(ID);
-        if (id == null || !id.matches(ID_FORM)) {
+        if (id == null || !id.matches(ID_PATTERN)) {
             throw new BadInput(ID);
         }
-        String named = head.field(CLASS);
-        if (named != null && !named.equals(jobClass.name())) {
-            throw new BadInput(CLASS + " is " + named);
+        String className = head.field(CLASS);
+        if (className != null && !className.equals(jobClass.name())) {
+            throw new BadInput(CLASS + " is " + className);
         }
         String labels = head.field(LABELS);
-        Fields figures = new Fields(
+        Fields labelFields = new Fields(
                 LABELS,
                 labels == null || labels.isBlank() ? Map.of() : LoadReports.pairs(labels.toLowerCase(Locale.ROOT)));
-        double slots = figures.number("slots", figures.number("needs", 1));
-        if (!(slots > 0 && slots <= MOST_SLOTS)) {
+        double slots = labelFields.number("slots", labelFields.number("needs", 1));
+        if (!(slots > 0 && slots <= MAX_SLOTS)) {
             throw new BadInput(LABELS + " has " + slots + " slots");
         }
         double remaining = Math.min(number(head, REMAINING, jobClass.deadlineMs()), jobClass.deadlineMs());
@@ -64,12 +64,12 @@
                 id,
                 classIndex,
                 request.target(),
-                head.passedOn(REWORDED),
+                head.passedOn(REPLACED_FIELDS),
                 request.body(),
                 unreadMs > TimerWheel.TICK_MS ? remaining - unreadMs : remaining,
                 costMs,
                 slots,
-                figures.number("memory", Double.NaN),
+                labelFields.number("memory", Double.NaN),
                 0,
                 key(head),
                 "1".equals(head.field(RETRY)),
@@ -77,10 +77,10 @@
                 new JobRequest.Work(classIndex, null, null, null, 0, Double.NaN));
     }
 
-    private static double number(Head head, String field, double otherwise) {
+    private static double number(Head head, String field, double defaultValue) {
         String text = head.field(field);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Long.parseLong(text);
@@ -89,13 +89,13 @@
         }
     }
 
-    /** What the request is about, where its cookie says so, else null. */
+    /** Returns the affinity key from the request's cookie, or null if there is none. */
     private static String key(Head head) {
         String cookie = head.field("Cookie");
         if (cookie != null) {
             for (String part : cookie.split(";")) {
-                if (part.strip().startsWith(KEY_COOKIE)) {
-                    return part.strip().substring(KEY_COOKIE.length());
+                if (part.strip().startsWith(KEY_COOKIE_PREFIX)) {
+                    return part.strip().substring(KEY_COOKIE_PREFIX.length());
                 }
             }
         }
--- a/src/main/java/plumpost/platform/NodeListWatch.java
+++ b/src/main/java/plumpost/platform/NodeListWatch.java
@@ -19,354 +19,360 @@
 import plumpost.net.LoopContext;
 
 /**
- * Keeps a watch open on discovery's node list. A new process asks before it serves, since the list in its file may be
- * old. A watch that falls silent, or that belongs to a former discovery service, goes on telling until a newer call is
- * answered. When a call fails the core hears of it and decides when to ask again.
+ * Keeps a watch open on discovery's node list. A new process requests the list before it serves, since the one saved in its file
+ * may be old. A silent watch stays in use until a newer call is answered, and one on a former discovery service until the new
+ * service has sent its list. The core is told of a failed call and decides when to ask again.
  *
- * <p>The protocol bounds all of this: a change counts as told 6 s after discovery had it and could be reached.
+ * <p>The protocol sets the time limit: a scheduler must know a change 6 s after discovery knew it and could be reached.
  */
 public final class NodeListWatch implements NodeList, DiscoveryCall.Listener {
-    /** Hears what discovery tells this process, object by object. */
+    /** Receives each list object that discovery sends to this process. */
     public interface Listener {
-        /** An object of the list. */
-        void heard(String line, long seq, boolean whole);
+        /** A list object has arrived: its text, its version, and whether it is the whole list. */
+        void lineReceived(String line, long seq, boolean whole);
     }
 
     /**
-     * A new process waits this long for discovery before it serves by the list in its file. The platform wants restarted
-     * processes ready within 6 s at the least, and the start itself takes up to a second.
+     * A new process waits this long for discovery before it uses the list saved in its file. The platform requires restarted
+     * processes to be ready within 6 s, and the start itself takes up to a second.
      */
-    private static final double FIRST_LIST_MS = 5_000;
+    private static final double MAX_FIRST_LIST_WAIT_MS = 5_000;
     /**
-     * A call that is not answered by now may have lost its connection, or may stand in the service's queue: a second one
-     * is opened beside it, and the first answer wins. Giving the first up would lose its place in the queue.
+     * A call that is unanswered for this long may have lost its connection or may wait in the service's queue. A second call
+     * is opened and the first answer is used; closing the first call would lose its place in the queue.
      */
-    private static final double UNANSWERED_MS = 3_000;
+    private static final double SECOND_CALL_AFTER_MS = 3_000;
     /**
-     * Discovery answers calls in turn and some tens of them a second, and calls that have waited too long cost it work
-     * for nothing. Those that many schedulers would make at once are spread by so much for each scheduler, ...
+     * Discovery answers calls one by one, some tens a second, and calls that have waited too long waste its work. Calls that
+     * many schedulers would make at once are spread over this time for each other scheduler, ...
      */
     private static final double SPREAD_MS_PER_SCHEDULER = 30;
-    /** ... but over no more than this part of the time in which the settings want each scheduler to ask. */
-    private static final double MOST_SPREAD_PART = 1.0 / 3;
+    /** ... but over at most this fraction of the time within which the settings require each scheduler to ask. */
+    private static final double MAX_SPREAD_FRACTION = 1.0 / 3;
 
-    private final LoopContext kit;
+    private final LoopContext context;
     private final NodeListReader reader;
-    private final WorkerLinks nodes;
-    private final DispatchCore room;
+    private final WorkerLinks workerLinks;
+    private final DispatchCore core;
     private final SplittableRandom random;
     private InetSocketAddress service;
     private long version = DiscoveryCall.WHOLE_LIST;
-    /** The list of the file while it is withheld, or null. */
+    /** The list saved in the file while it is not used yet, or null. */
     private NodeListReader.Listing withheld;
-    /** Whether the core has been told any list. */
-    private boolean told;
-    /** The call whose answer tells of changes, or null. */
-    private DiscoveryCall watch;
-    /** Whether {@link #watch} has fallen silent and is to be replaced. */
-    private boolean watchIsSilent;
-    /** The watch on a former service, which tells on until the new one has told its list; or null. */
-    private DiscoveryCall former;
+    /** Whether any list has been passed to the core. */
+    private boolean published;
+    /** The call whose answer delivers changes, or null. */
+    private DiscoveryCall activeWatch;
+    /** Whether {@link #activeWatch} is silent and to be replaced. */
+    private boolean activeWatchSilent;
+    /** The watch on a former service, which is used until the new service has sent its list; or null. */
+    private DiscoveryCall formerWatch;
     /** The newest call without an answer, or null. */
-    private DiscoveryCall pending;
+    private DiscoveryCall pendingCall;
     /** An older call without an answer, or null. */
-    private DiscoveryCall overdue;
-    /** Why the last call failed, until one is answered: an outage is logged once. */
+    private DiscoveryCall overdueCall;
+    /** The failure of the last call until one is answered, so that an outage is logged once. */
     private String lastFailure;
-    /** In a fleet: who hears of each line, and whether this process is the one to ask. */
-    private Listener fleet;
+    /** In a fleet, receives each line that discovery sends; else null. */
+    private Listener fleetListener;
 
-    private boolean asks = true;
+    /** Whether this process is the one that watches discovery. */
+    private boolean asksDiscovery = true;
 
     NodeListWatch(
-            LoopContext kit,
+            LoopContext context,
             InetSocketAddress discovery,
             long seed,
             NodeListReader reader,
-            WorkerLinks nodes,
-            DispatchCore room) {
+            WorkerLinks workerLinks,
+            DispatchCore core) {
         this.random = new SplittableRandom(seed);
-        this.kit = kit;
+        this.context = context;
         this.service = discovery;
         this.reader = reader;
-        this.nodes = nodes;
-        this.room = room;
+        this.workerLinks = workerLinks;
+        this.core = core;
     }
 
     /**
-     * Begins with the list as last had, or null. That list is withheld until discovery has answered: nodes that it names
-     * may have left long ago, and a change counts as told however new the process is. It serves alone after
-     * {@link #FIRST_LIST_MS}, as soon as discovery turns out to be unreachable, or where it cannot be old.
+     * Starts with the saved list, or null. That list is withheld until discovery has answered, since its nodes may have left
+     * long ago and the protocol's time limit also holds for a new process. It is used without an answer after
+     * {@link #MAX_FIRST_LIST_WAIT_MS}, as soon as discovery proves unreachable, or if it cannot be old.
      */
-    void begin(NodeListReader.Listing saved) {
-        if (service != null && saved != null && !told) {
+    void start(NodeListReader.Listing saved) {
+        if (service != null && saved != null && !published) {
             withheld = saved;
-            saved.lines().forEach(line -> room.named(line.entry().id()));
-            if (room.settings().listOnRequest()) {
+            saved.lines().forEach(line -> core.named(line.entry().id()));
+            if (core.settings().listOnRequest()) {
                 version = saved.seq();
             }
-            kit.wheel().at(kit.clock().nowMs() + FIRST_LIST_MS, () -> serveByFile("no list in time"));
+            context.wheel()
+                    .at(context.clock().nowMs() + MAX_FIRST_LIST_WAIT_MS, () -> serveSavedList("no list in time"));
         }
-        watchWithinSpread();
+        watchAfterRandomDelay();
     }
 
     /**
-     * Clients come though this process has not said that it is ready. The platform's front notices within some seconds
-     * that a scheduler is gone, and then waits until it is ready: this one was away for less, and its list is that young.
-     * Where lists are pushed that is too old all the same: there a change counts from a process's first moment.
+     * Handles a job submitted before this process has reported that it is ready. The platform's front notices within some
+     * seconds that a scheduler is gone and then waits until it is ready, so this process was away for less and its saved list
+     * is recent enough. It is not if lists are pushed: then a change counts from the first moment of a process.
      */
-    void clientsStillCome() {
-        if (room.settings().listOnRequest()) {
-            serveByFile("clients have not noticed the restart");
+    void jobSubmittedBeforeReady() {
+        if (core.settings().listOnRequest()) {
+            serveSavedList("clients have not noticed the restart");
         }
     }
 
-    /** Opens a call at a random moment, so that schedulers for which the same thing happened do not all call at once. */
-    private void watchWithinSpread() {
-        double spreadMs = spreadMs();
+    /** Opens a call after a random delay, so that schedulers that react to the same event do not all call at once. */
+    private void watchAfterRandomDelay() {
+        double spreadMs = maxRandomDelayMs();
         if (spreadMs > 0) {
-            kit.wheel().at(kit.clock().nowMs() + random.nextDouble() * spreadMs, this::watch);
+            context.wheel().at(context.clock().nowMs() + random.nextDouble() * spreadMs, this::watch);
         } else {
             watch();
         }
     }
 
-    private double spreadMs() {
-        if (!room.settings().listOnRequest()) {
-            return 0; // each scheduler has an agent of its own
+    private double maxRandomDelayMs() {
+        if (!core.settings().listOnRequest()) {
+            return 0; // each scheduler has its own agent
         }
-        double others = room.settings().balancers() - 1;
+        double otherSchedulers = core.settings().balancers() - 1;
         return Math.min(
-                others * SPREAD_MS_PER_SCHEDULER, room.settings().rules().mustAskInMs() * MOST_SPREAD_PART);
+                otherSchedulers * SPREAD_MS_PER_SCHEDULER,
+                core.settings().rules().mustAskInMs() * MAX_SPREAD_FRACTION);
     }
 
-    private void serveByFile(String why) {
+    private void serveSavedList(String reason) {
         if (withheld != null) {
-            kit.counters().count("list.none_pushed");
-            kit.log().accept("node list: serving by the file, " + why);
-            tell(ListMode.SAVED, withheld);
+            context.counters().count("list.none_pushed");
+            context.log().accept("node list: using the saved list, " + reason);
+            publish(ListMode.SAVED, withheld);
         }
     }
 
-    /** Whether there is a list to serve by, as far as one is to be had. */
-    boolean primed() {
+    /** Returns whether no saved list is withheld, so that jobs are dispatched by the best list available. */
+    boolean mayServe() {
         return withheld == null;
     }
 
-    /** Asks for the list, unless a call for it is under way or no service is known. */
+    /** Opens a call unless one is open, no service is known, or another scheduler of the fleet watches discovery. */
     @Override
     public void watch() {
-        boolean watching = watch != null && !watchIsSilent;
-        if (asks && service != null && pending == null && !watching) {
+        boolean watching = activeWatch != null && !activeWatchSilent;
+        if (asksDiscovery && service != null && pendingCall == null && !watching) {
             call();
         }
     }
 
     private void call() {
-        kit.counters().count("list.asked");
-        DiscoveryCall opened = new DiscoveryCall(kit, reader, service, version, this);
-        pending = opened;
-        kit.wheel().at(kit.clock().nowMs() + UNANSWERED_MS, () -> {
-            if (opened == pending) {
+        context.counters().count("list.asked");
+        DiscoveryCall opened = new DiscoveryCall(context, reader, service, version, this);
+        pendingCall = opened;
+        context.wheel().at(context.clock().nowMs() + SECOND_CALL_AFTER_MS, () -> {
+            if (opened == pendingCall) {
                 closeOverdue();
-                overdue = opened;
+                overdueCall = opened;
                 call();
             }
         });
     }
 
-    /** Puts the node list under a fleet, which says who asks discovery and hears of each line. */
-    void in(Listener whole) {
-        fleet = whole;
-        asks = false;
+    /** Joins a fleet, which decides which scheduler watches discovery and receives each line. */
+    void joinFleet(Listener listener) {
+        fleetListener = listener;
+        asksDiscovery = false;
     }
 
-    /** Whether this process is to ask; one that is not any more closes its watch, and keeps its list. */
-    void ask(boolean itself, boolean whole) {
-        asks = itself;
-        if (!itself || whole) {
+    /**
+     * Sets whether this process is to watch discovery. If not, it closes its watch and keeps its list; {@code wholeList} requests
+     * the whole list again.
+     */
+    void setAsking(boolean enabled, boolean wholeList) {
+        asksDiscovery = enabled;
+        if (!enabled || wholeList) {
             closeWatch();
             closeUnanswered();
         }
-        if (whole) {
+        if (wholeList) {
             version = DiscoveryCall.WHOLE_LIST;
         }
         watch();
     }
 
-    /** Whether a watch is open and tells of changes. */
-    boolean hears() {
-        return watch != null && !watchIsSilent;
+    /** Returns whether a watch is answered and not silent. */
+    boolean isListening() {
+        return activeWatch != null && !activeWatchSilent;
     }
 
-    /** A line that another scheduler has heard from discovery. */
-    void told(String line) {
+    /** Applies a list line that another scheduler of the fleet has received from discovery. */
+    void applyFleetLine(String line) {
         try {
             NodeListReader.Listing listing =
                     reader.read(Json.object("a list line", line.getBytes(StandardCharsets.UTF_8)));
             version = listing.seq();
-            kit.counters().count("list.followed");
-            tell(listing);
+            context.counters().count("list.followed");
+            publish(listing);
         } catch (BadInput e) {
-            kit.counters().count("list.malformed");
-            kit.log().accept("node list, told by the fleet: " + e.getMessage());
+            context.counters().count("list.malformed");
+            context.log().accept("node list line from the fleet: " + e.getMessage());
         }
     }
 
-    /** Watches another service from now on: its versions are its own, so the whole list is asked for. */
-    void move(InetSocketAddress to) {
-        if (to.equals(service)) {
+    /** Switches to another service. It numbers its versions independently, so the whole list is requested. */
+    void moveTo(InetSocketAddress newService) {
+        if (newService.equals(service)) {
             return;
         }
-        kit.counters().count("list.moved");
+        context.counters().count("list.moved");
         closeUnanswered();
-        if (watch != null && watch.hasListed()) {
+        if (activeWatch != null && activeWatch.hasListed()) {
             closeFormer();
-            former = watch;
-            watch = null;
+            formerWatch = activeWatch;
+            activeWatch = null;
         }
         closeWatch();
-        service = to;
+        service = newService;
         version = DiscoveryCall.WHOLE_LIST;
         watch();
     }
 
-    private void tell(NodeListReader.Listing listing) {
+    private void publish(NodeListReader.Listing listing) {
         if (listing.whole()) {
-            tell(ListMode.FULL, listing);
+            publish(ListMode.FULL, listing);
         } else if (withheld != null) {
-            tell(ListMode.FULL, changed(withheld, listing));
+            publish(ListMode.FULL, applyChanges(withheld, listing));
         } else {
-            tell(ListMode.INCREMENTAL, listing);
+            publish(ListMode.INCREMENTAL, listing);
         }
     }
 
-    /** A whole list with changes applied to it. */
-    private static NodeListReader.Listing changed(NodeListReader.Listing whole, NodeListReader.Listing changes) {
+    /** Returns a whole list with changes applied to it. */
+    private static NodeListReader.Listing applyChanges(NodeListReader.Listing whole, NodeListReader.Listing changes) {
         Map<String, NodeListReader.Line> byNode = new LinkedHashMap<>();
         whole.lines().forEach(line -> byNode.put(line.entry().id(), line));
         changes.lines().forEach(line -> byNode.put(line.entry().id(), line));
         return new NodeListReader.Listing(changes.seq(), true, List.copyOf(byNode.values()));
     }
 
-    private void tell(ListMode mode, NodeListReader.Listing listing) {
+    private void publish(ListMode mode, NodeListReader.Listing listing) {
         withheld = null;
-        told = true;
-        List<ListedNode> lines = new ArrayList<>();
+        published = true;
+        List<ListedNode> listedNodes = new ArrayList<>();
         for (NodeListReader.Line line : listing.lines()) {
-            NodeLink link = line.dial() == null ? AbsentLink.LINK : nodes.at(line.dial());
+            NodeLink link = line.dial() == null ? AbsentLink.LINK : workerLinks.find(line.dial());
             if (mode == ListMode.INCREMENTAL || line.entry().phase() != Phase.DELETED) {
-                lines.add(new ListedNode(line.entry(), link));
+                listedNodes.add(new ListedNode(line.entry(), link));
             }
         }
-        room.listed(this, mode, lines);
+        core.listed(this, mode, listedNodes);
     }
 
-    // ---- what calls bring ----
+    // ---- events of calls ----
 
     @Override
     public void answered(DiscoveryCall call) {
         lastFailure = null;
-        forget(call);
+        forgetCall(call);
         closeUnanswered();
         closeWatch();
-        watch = call;
+        activeWatch = call;
     }
 
     @Override
     public void unchanged(DiscoveryCall call) {
         if (withheld != null) {
-            tell(ListMode.FULL, withheld);
+            publish(ListMode.FULL, withheld);
         }
     }
 
     @Override
     public void listed(DiscoveryCall call, NodeListReader.Listing listing, String text) {
-        if (call == watch) {
+        if (call == activeWatch) {
             version = listing.seq();
             closeFormer();
         }
-        tell(listing);
-        if (fleet != null && call == watch) {
-            fleet.heard(text, listing.seq(), listing.whole());
+        publish(listing);
+        if (fleetListener != null && call == activeWatch) {
+            fleetListener.lineReceived(text, listing.seq(), listing.whole());
         }
     }
 
     @Override
     public void silent(DiscoveryCall call) {
-        if (call == former) {
+        if (call == formerWatch) {
             closeFormer();
             return;
         }
-        watchIsSilent = true;
-        kit.counters().count("list.silent");
-        kit.log().accept("node list watch: silent, opened anew");
-        watchWithinSpread();
+        activeWatchSilent = true;
+        context.counters().count("list.silent");
+        context.log().accept("node list watch: silent, reopening it");
+        watchAfterRandomDelay();
     }
 
     @Override
     public void failed(DiscoveryCall call, DiscoveryCall.Failure failure, String detail) {
         if (!detail.equals(lastFailure)) {
-            kit.log().accept("node list watch: " + detail);
+            context.log().accept("node list watch: " + detail);
         }
         lastFailure = detail;
-        boolean asked = call == pending || call == watch && !watchIsSilent;
-        forget(call);
+        boolean askAgain = call == pendingCall || call == activeWatch && !activeWatchSilent;
+        forgetCall(call);
         if (failure == DiscoveryCall.Failure.VERSION_WENT_BACK) {
             version = DiscoveryCall.WHOLE_LIST;
         }
-        // Where lists are pushed, what the agent has counts from a process's first moment, reached or not.
-        if (failure == DiscoveryCall.Failure.UNREACHABLE && room.settings().listOnRequest()) {
-            serveByFile("discovery cannot be reached");
+        // If lists are pushed, a change that the agent knows counts from the start, even if the agent is unreachable.
+        if (failure == DiscoveryCall.Failure.UNREACHABLE && core.settings().listOnRequest()) {
+            serveSavedList("discovery cannot be reached");
         }
-        if (asked) {
-            room.listed(this, ListMode.FAILED, List.of());
+        if (askAgain) {
+            core.listed(this, ListMode.FAILED, List.of());
         }
     }
 
-    private void forget(DiscoveryCall call) {
-        if (call == pending) {
-            pending = null;
+    private void forgetCall(DiscoveryCall call) {
+        if (call == pendingCall) {
+            pendingCall = null;
         }
-        if (call == overdue) {
-            overdue = null;
+        if (call == overdueCall) {
+            overdueCall = null;
         }
-        if (call == watch) {
-            watch = null;
-            watchIsSilent = false;
+        if (call == activeWatch) {
+            activeWatch = null;
+            activeWatchSilent = false;
         }
-        if (call == former) {
-            former = null;
+        if (call == formerWatch) {
+            formerWatch = null;
         }
     }
 
     private void closeWatch() {
-        if (watch != null) {
-            watch.close();
+        if (activeWatch != null) {
+            activeWatch.close();
         }
-        watch = null;
-        watchIsSilent = false;
+        activeWatch = null;
+        activeWatchSilent = false;
     }
 
     private void closeFormer() {
-        if (former != null) {
-            former.close();
+        if (formerWatch != null) {
+            formerWatch.close();
         }
-        former = null;
+        formerWatch = null;
     }
 
     private void closeOverdue() {
-        if (overdue != null) {
-            overdue.close();
+        if (overdueCall != null) {
+            overdueCall.close();
         }
-        overdue = null;
+        overdueCall = null;
     }
 
     private void closeUnanswered() {
         closeOverdue();
-        if (pending != null) {
-            pending.close();
+        if (pendingCall != null) {
+            pendingCall.close();
         }
-        pending = null;
+        pendingCall = null;
     }
 }
--- a/src/main/java/plumpost/platform/Platform.java
+++ b/src/main/java/plumpost/platform/Platform.java
@@ -12,128 +12,136 @@
 import plumpost.net.ConnectionHandler;
 import plumpost.net.LoopContext;
 
-/** The platform's side of a scheduler: its front, its links to route nodes and its watch on the node list. */
+/** The platform's protocol in a scheduler: the HTTP front, the links to route nodes and the watch on the node list. */
 public final class Platform implements Front {
-    private static final long UNREAD = 2 << 20;
+    private static final long MAX_UNREAD_BYTES = 2 << 20;
 
-    private final HttpFront door;
+    private final HttpFront front;
     private final NodeListWatch watch;
     private final NodeListReader reader;
     private final NodeConfig config;
-    private final DispatchCore room;
-    private final LoopContext kit;
+    private final DispatchCore core;
+    private final LoopContext context;
 
-    /** Joins the platform's protocol to a core; {@code lag} tells how long bytes may have lain unread. */
-    public Platform(NodeConfig config, DispatchCore room, LoopContext kit, DoubleSupplier lag) {
+    /** Connects the platform's protocol to a core; {@code lagMs} returns how long bytes may have waited unread. */
+    public Platform(NodeConfig config, DispatchCore core, LoopContext context, DoubleSupplier lagMs) {
         this.config = config;
-        this.room = room;
-        this.kit = kit;
+        this.core = core;
+        this.context = context;
         int nodeConnections = config.sockets() / 3;
-        reader = new NodeListReader(config.raw(), new WorkerStartTimes(kit.unixTime()), why -> {
-            kit.counters().count("list.malformed_line");
-            kit.log().accept("malformed node list line: " + why);
+        reader = new NodeListReader(config.raw(), new WorkerStartTimes(context.unixTime()), reason -> {
+            context.counters().count("list.malformed_line");
+            context.log().accept("malformed node list line: " + reason);
         });
-        WorkerLinks nodes = new WorkerLinks(kit, room::settings, nodeConnections);
-        watch = new NodeListWatch(kit, config.discovery(), config.seed(), reader, nodes, room);
-        door = new HttpFront(room, kit, lag::getAsDouble, watch);
+        WorkerLinks workerLinks = new WorkerLinks(context, core::settings, nodeConnections);
+        watch = new NodeListWatch(context, config.discovery(), config.seed(), reader, workerLinks, core);
+        front = new HttpFront(core, context, lagMs::getAsDouble, watch);
     }
 
-    /** Connections that front desks may hold open together. */
+    /** Returns the maximum of open client connections. */
     public static int connections(NodeConfig config) {
         return config.sockets() * 9 / 20;
     }
 
-    /** Ends the front desk's connection that matters least, where there is such a one. */
+    /** Closes the least important client connection; returns false if none may be closed. */
     public boolean shed() {
-        return door.shed();
+        return front.shed();
     }
 
     @Override
     public String open(Listeners listeners) throws IOException {
-        String where = config.listen() == null
+        String address = config.listen() == null
                 ? ""
                 : "http "
                         + listeners.listen(
-                                config.listen(), this::accept, connections(config), false, UNREAD, this::shed);
+                                config.listen(),
+                                this::accept,
+                                connections(config),
+                                false,
+                                MAX_UNREAD_BYTES,
+                                this::shed);
         begin();
-        return where;
+        return address;
     }
 
-    /** Takes over another address of discovery; jobs, connections and what is known of nodes stay. */
+    /** Applies a new address of discovery; jobs, connections and the state of nodes are kept. */
     @Override
-    public void reload(NodeConfig now) {
-        if (now.discovery() == null) {
-            kit.log().accept("reloaded, the file names no discovery: the old one stays");
+    public void reload(NodeConfig newConfig) {
+        if (newConfig.discovery() == null) {
+            context.log().accept("reloaded, the file names no discovery: the old address stays");
         } else {
-            kit.log().accept("reloaded, discovery " + now.discovery());
-            watch.move(now.discovery());
+            context.log().accept("reloaded, discovery " + newConfig.discovery());
+            watch.moveTo(newConfig.discovery());
         }
     }
 
-    /** Asks discovery for the list; the one as last had serves only where discovery tells none in time. */
+    /** Requests the node list from discovery; the saved list is used only if discovery sends none in time. */
     public void begin() {
-        room.add(watch);
-        watch.begin(lastList());
+        core.add(watch);
+        watch.start(savedList());
     }
 
-    /** The list of the file, or null where there is none that can be read: discovery tells the true one. */
-    private NodeListReader.Listing lastList() {
+    /** Returns the node list saved in the file, or null if there is none that can be read; discovery sends the current one. */
+    private NodeListReader.Listing savedList() {
         if (!config.known().has("seq")) {
             return null;
         }
         try {
             return reader.read(config.known());
         } catch (BadInput e) {
-            kit.counters().count("list.malformed");
-            kit.log().accept("the file's node list is passed over: " + e.getMessage());
+            context.counters().count("list.malformed");
+            context.log().accept("the saved node list is ignored: " + e.getMessage());
             return null;
         }
     }
 
-    /** Discovery's word as another scheduler of the fleet has heard it: one line of the node list. */
+    /** Applies one line of the node list that another scheduler of the fleet has received from discovery. */
     public void told(String line) {
-        watch.told(line);
+        watch.applyFleetLine(line);
     }
 
-    /** Whether discovery is to be asked by this scheduler itself, in a fleet that has an owner for that. */
-    public void ask(boolean itself, boolean whole) {
-        watch.ask(itself, whole);
+    /**
+     * Sets whether this scheduler itself is to watch discovery, in a fleet that has an owner for that; {@code wholeList} requests
+     * the whole list again.
+     */
+    public void ask(boolean enabled, boolean wholeList) {
+        watch.setAsking(enabled, wholeList);
     }
 
-    /** Whether discovery, asked by this scheduler, has told its list and goes on. */
+    /** Returns whether this scheduler has a watch on discovery that is answered and not silent. */
     public boolean hears() {
-        return watch.hears();
+        return watch.isListening();
     }
 
-    /** From now on the fleet says who asks discovery, and hears what it tells this scheduler. */
+    /** Lets the fleet decide from now on which scheduler watches discovery, and passes it each line received here. */
     public void in(NodeListWatch.Listener fleet) {
-        watch.in(fleet);
+        watch.joinFleet(fleet);
     }
 
-    /** Takes a front desk's connection in. */
-    public ConnectionHandler accept(Connection wire) {
-        return door.accept(wire);
+    /** Creates the handler of a client's connection. */
+    public ConnectionHandler accept(Connection connection) {
+        return front.accept(connection);
     }
 
-    /** Whether there is a node list to serve by, where one is to be waited for. */
+    /** Returns whether no saved node list is being withheld until discovery answers. */
     public boolean listed() {
-        return watch.primed();
+        return watch.mayServe();
     }
 
-    /** From here on the front says that it is ready. */
+    /** Lets the front report that it is ready from now on. */
     @Override
     public void ready() {
-        door.ready();
+        front.ready();
     }
 
-    /** Begins the orderly end: not ready, idle connections closed, others closed with their answer. */
+    /** Starts the shutdown: reports not ready, then closes idle connections and the others after their answer. */
     @Override
     public void stop(double heardAtMs, double newcomersMs) {
-        door.stop(heardAtMs);
+        front.stop(heardAtMs);
     }
 
     @Override
     public boolean quiet() {
-        return door.quiet();
+        return front.quiet();
     }
 }
--- a/src/main/java/plumpost/platform/WarmUp.java
+++ b/src/main/java/plumpost/platform/WarmUp.java
@@ -19,120 +19,121 @@
 import plumpost.time.TimerWheel;
 
 /**
- * Warms the program up before it says that it is ready: a scheduler of its own, in memory, with a ledger, clock and
- * counters of its own, serves jobs through every machine on the path, so that the first real ones find it all loaded.
+ * Warms the program up before it reports that it is ready. A separate scheduler in memory, with its own core, clock and
+ * counters, serves jobs through all classes on the request path, so that these are loaded when the first real job comes.
  */
 public final class WarmUp implements Network {
     private static final int JOBS = 20;
-    private static final String LIST = "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"r\",\"dial\":\"127.0.0.1:1\","
-            + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}]}";
+    private static final String NODE_LIST =
+            "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"r\",\"dial\":\"127.0.0.1:1\","
+                    + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}]}";
 
-    private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    private double now = 1;
+    private final ArrayDeque<Runnable> pendingTasks = new ArrayDeque<>();
+    private double nowMs = 1;
 
-    /** Plays the rehearsal; returns the answers that front desks got. */
+    /** Runs the warm-up; returns the number of jobs answered with status 200. */
     public static long play(NodeConfig config) {
-        return new WarmUp().serve(config);
+        return new WarmUp().serveJobs(config);
     }
 
-    private long serve(NodeConfig like) {
+    private long serveJobs(NodeConfig original) {
         NodeConfig config = new NodeConfig(
-                like.name(),
-                like.listen(),
+                original.name(),
+                original.listen(),
                 new InetSocketAddress("127.0.0.1", 2),
                 1,
                 1024,
-                like.settings(),
-                like.raw(),
-                Json.object("rehearsal", LIST.getBytes(StandardCharsets.US_ASCII)),
+                original.settings(),
+                original.raw(),
+                Json.object("rehearsal", NODE_LIST.getBytes(StandardCharsets.US_ASCII)),
                 null,
                 null,
                 null);
-        TimerWheel wheel = new TimerWheel(now);
+        TimerWheel wheel = new TimerWheel(nowMs);
         Counters counters = new Counters();
-        DispatchCore room = new DispatchCore(
+        DispatchCore core = new DispatchCore(
                 config.settings(),
                 1,
-                () -> now,
+                () -> nowMs,
                 wheel,
                 counters,
                 new DispatchCore.Bounds(JOBS, 1 << 20, 16, 1 << 16),
-                words -> {});
+                line -> {});
         Platform platform =
-                new Platform(config, room, new LoopContext(this, () -> now, wheel, counters, words -> {}), () -> 0);
+                new Platform(config, core, new LoopContext(this, () -> nowMs, wheel, counters, line -> {}), () -> 0);
         platform.begin();
-        MemoryConnection desk = new MemoryConnection();
-        ConnectionHandler front = platform.accept(desk);
+        MemoryConnection client = new MemoryConnection();
+        ConnectionHandler handler = platform.accept(client);
         for (int i = 0; i < JOBS; i++) {
-            String cls = config.settings()
+            String className = config.settings()
                     .classes()
                     .get(i % config.settings().classes().size())
                     .name();
-            front.bytes(Answers.ascii("POST /" + cls + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + i + "\r\nX-Lane: " + cls
-                    + "\r\nX-Remaining-Ms: 500\r\nX-Estimate: 1000\r\nContent-Length: 4\r\n\r\nbody"));
-            for (double end = now + 20; now < end; now += TimerWheel.TICK_MS) {
-                for (Runnable r = soon.poll(); r != null; r = soon.poll()) {
-                    r.run();
+            handler.bytes(Answers.ascii("POST /" + className + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + i + "\r\nX-Lane: "
+                    + className + "\r\nX-Remaining-Ms: 500\r\nX-Estimate: 1000\r\nContent-Length: 4\r\n\r\nbody"));
+            for (double roundEndMs = nowMs + 20; nowMs < roundEndMs; nowMs += TimerWheel.TICK_MS) {
+                for (Runnable task = pendingTasks.poll(); task != null; task = pendingTasks.poll()) {
+                    task.run();
                 }
-                wheel.turnTo(now);
+                wheel.turnTo(nowMs);
             }
         }
         return counters.of("front.answers.200");
     }
 
     @Override
-    public Connection dial(InetSocketAddress to, Function<Connection, ConnectionHandler> user) {
-        MemoryConnection m = new MemoryConnection();
-        m.user = user.apply(m);
-        soon.add(m.user::opened);
-        return m;
+    public Connection dial(InetSocketAddress address, Function<Connection, ConnectionHandler> handlers) {
+        MemoryConnection connection = new MemoryConnection();
+        connection.handler = handlers.apply(connection);
+        pendingTasks.add(connection.handler::opened);
+        return connection;
     }
 
-    /** A connection whose other end answers requests as a route node does, and as discovery does. */
+    /** A connection whose remote end answers requests like a route node and like discovery. */
     private final class MemoryConnection implements Connection {
         private final RequestReader reader = new RequestReader(1024);
-        private ConnectionHandler user;
+        private ConnectionHandler handler;
 
         @Override
         public void write(ByteBuffer... parts) {
-            if (user == null) {
-                return; // the front desk's end
+            if (handler == null) {
+                return; // the client's end
             }
-            boolean whole = false;
+            boolean complete = false;
             try {
-                for (ByteBuffer p : parts) {
-                    whole = reader.feed(p.duplicate());
+                for (ByteBuffer part : parts) {
+                    complete = reader.feed(part.duplicate());
                 }
             } catch (BadMessage e) {
                 throw new IllegalStateException(e);
             }
-            if (!whole) {
-                user.flushed(); // an order's last byte follows by itself; an answer before it would be none
+            if (!complete) {
+                handler.flushed(); // an order's last byte is written later, and an answer before it would not count
                 return;
             }
             String id = reader.head().field("X-Txn");
             String path = reader.path();
             reader.next();
-            user.flushed();
-            soon.add(() -> user.bytes(Answers.ascii(
+            handler.flushed();
+            pendingTasks.add(() -> handler.bytes(Answers.ascii(
                     id != null
-                            ? lines(id)
+                            ? progressLines(id)
                             : path.equals("/stats")
                                     ? "HTTP/1.1 200 OK\r\nContent-Length: 36\r\n\r\ninflight=1,queue=0,x0=2,latency_ms=3"
                                     : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                            + Integer.toHexString(LIST.length()) + "\r\n" + LIST + "\r\n")));
+                                            + Integer.toHexString(NODE_LIST.length()) + "\r\n" + NODE_LIST + "\r\n")));
         }
 
-        private static String lines(String id) {
-            StringBuilder all = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        private static String progressLines(String id) {
+            StringBuilder response = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (String state : new String[] {"started", "running", "done"}) {
                 String line = "{\"id\":\"" + id + "\",\"state\":\"" + state + "\",\"share\":0.5,\"result\":\"r\"}\n";
-                all.append(Integer.toHexString(line.length()))
+                response.append(Integer.toHexString(line.length()))
                         .append("\r\n")
                         .append(line)
                         .append("\r\n");
             }
-            return all.append("0\r\n\r\n").toString();
+            return response.append("0\r\n\r\n").toString();
         }
 
         @Override
--- a/src/main/java/plumpost/platform/WorkerLinks.java
+++ b/src/main/java/plumpost/platform/WorkerLinks.java
@@ -25,66 +25,70 @@
 import plumpost.net.LoopContext;
 import plumpost.time.TimerWheel;
 
-/** The route nodes that speak HTTP: one link each, with its pool of connections. */
+/** The links to route nodes over HTTP, each with a pool of connections. */
 final class WorkerLinks {
-    private static final int ANSWER_LIMIT = 256 * 1024;
-    /** Where the settings do not say how long a connection may take to come up. */
-    private static final double DIAL_MS = 250;
-    /** By so much the protocol's page lengthens each limit on sockets. */
-    private static final double SLACK_MS = 50;
-    /** A node says within milliseconds that it has taken a job: silent for so many probes' time, its connection is lost. */
-    private static final double TAKEN_PROBES = 2;
-    /** Progress comes at intervals: after so many without any the job has stopped or its connection is silent. */
-    private static final double INTERVALS = 1.5;
-    /** What is reset at a request's first bytes is so by now, well within what counts as a prompt start; an order's last byte is kept back for that long. */
-    private static final double PROVING_MS = 5;
-    /** Idle connections are retired at this part of the time after which the node may close them. */
-    private static final double RETIRE_AT = 0.5;
-
-    private final LoopContext kit;
+    private static final int MAX_ANSWER_BYTES = 256 * 1024;
+    /** The connect timeout if the settings contain none. */
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    /** The protocol allows each time limit on sockets to be exceeded by this much. */
+    private static final double TIMEOUT_SLACK_MS = 50;
+    /** A node acknowledges a job within milliseconds; if it is silent for this many probe timeouts, its connection is lost. */
+    private static final double MAX_SILENCE_IN_PROBE_TIMEOUTS = 2;
+    /** Progress is reported at intervals; after this many without any report the job has stopped or its connection is lost. */
+    private static final double MAX_SILENCE_IN_PROGRESS_INTERVALS = 1.5;
+    /**
+     * An order's last byte is held back for this long. A connection that is reset at the first bytes of a request is reset
+     * within that time, and the order still starts promptly.
+     */
+    private static final double LAST_BYTE_DELAY_MS = 5;
+    /** Idle connections are closed at this fraction of the time after which the node may close them. */
+    private static final double RETIRE_FRACTION = 0.5;
+
+    private final LoopContext context;
     private final Supplier<Dispatcher.Settings> settings;
-    private final int mostConnections;
+    private final int maxConnections;
     private final Map<InetSocketAddress, Node> nodes = new HashMap<>();
-    private int connections;
+    private int openConnections;
 
-    /** Links whose figures follow the settings in force, which SIGHUP may change. */
-    WorkerLinks(LoopContext kit, Supplier<Dispatcher.Settings> settings, int mostConnections) {
-        this.kit = kit;
+    /** Creates the links; their time limits follow the current settings, which SIGHUP may change. */
+    WorkerLinks(LoopContext context, Supplier<Dispatcher.Settings> settings, int maxConnections) {
+        this.context = context;
         this.settings = settings;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
-    /** How long a connection may idle: the node closes it after the time in the settings in force. */
-    private double retireMs() {
-        double keep = settings.get().limits().keepaliveMs();
-        return keep > 0 ? keep * RETIRE_AT : 1000;
+    /** Returns how long a connection may idle, which is less than the keep-alive time of the node in the current settings. */
+    private double maxIdleMs() {
+        double keepaliveMs = settings.get().limits().keepaliveMs();
+        return keepaliveMs > 0 ? keepaliveMs * RETIRE_FRACTION : 1000;
     }
 
-    /** How long a connection may take to come up. */
-    private double dialMs() {
-        double said = settings.get().limits().dialTimeoutMs();
-        return said > 0 ? said : DIAL_MS;
+    /** Returns how long a connection may take to be established. */
+    private double connectTimeoutMs() {
+        double configuredMs = settings.get().limits().dialTimeoutMs();
+        return configuredMs > 0 ? configuredMs : DEFAULT_CONNECT_TIMEOUT_MS;
     }
 
-    /** How long a probe may take: its connection has to come up, and what it asks for is answered at once. */
-    private double probeMs() {
-        return dialMs() + SLACK_MS;
+    /** Returns how long a probe may take: the time to connect, since the node answers it at once. */
+    private double probeTimeoutMs() {
+        return connectTimeoutMs() + TIMEOUT_SLACK_MS;
     }
 
-    /** The link to the node at an address; the same one as long as the node is listed there. */
-    NodeLink at(InetSocketAddress dial) {
-        return nodes.computeIfAbsent(dial, Node::new);
+    /** Returns the link to the node at an address: the same one as long as the node is listed there. */
+    NodeLink find(InetSocketAddress address) {
+        return nodes.computeIfAbsent(address, Node::new);
     }
 
-    private boolean repeatable(Attempt attempt) {
-        return attempt.jobClass().effect() == Effect.FREE; // the class the job came with, whatever came since
+    private boolean isRepeatable(Attempt attempt) {
+        return attempt.jobClass().effect()
+                == Effect.FREE; // the class as it was when the job came, despite later settings
     }
 
-    /** Ends a connection that idles, of whichever node, so that another can be opened. */
-    private boolean room() {
-        for (Node n : nodes.values()) {
-            if (!n.idle.isEmpty()) {
-                n.idle.peekLast().drop();
+    /** Closes an idle connection of any node, so that another can be opened; returns whether there was one. */
+    private boolean closeIdleConnection() {
+        for (Node node : nodes.values()) {
+            if (!node.idleConnections.isEmpty()) {
+                node.idleConnections.peekLast().close();
                 return true;
             }
         }
@@ -92,141 +96,145 @@
     }
 
     private final class Node implements NodeLink {
-        private final InetSocketAddress dial;
-        private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
-        private final Map<Attempt, WorkerConnection> out = new HashMap<>();
+        private final InetSocketAddress address;
+        private final ArrayDeque<WorkerConnection> idleConnections = new ArrayDeque<>();
+        private final Map<Attempt, WorkerConnection> attempts = new HashMap<>();
 
-        Node(InetSocketAddress dial) {
-            this.dial = dial;
+        Node(InetSocketAddress address) {
+            this.address = address;
         }
 
         @Override
         public void send(Attempt attempt) {
-            // A kept connection may be reset by what is written next, and an order may then not go again.
-            WorkerConnection c = repeatable(attempt) ? free(attempt.sheet().id()) : new WorkerConnection(this);
-            out.put(attempt, c);
-            c.begin(attempt, null);
+            // The node may reset a reused connection at the next request, and an order could then not be retried.
+            WorkerConnection connection =
+                    isRepeatable(attempt) ? takeConnection(attempt.sheet().id()) : new WorkerConnection(this);
+            attempts.put(attempt, connection);
+            connection.start(attempt, null);
         }
 
         @Override
         public void giveUp(Attempt attempt) {
-            WorkerConnection c = out.remove(attempt);
-            if (c != null) {
-                c.drop();
+            WorkerConnection connection = attempts.remove(attempt);
+            if (connection != null) {
+                connection.close();
             }
         }
 
         @Override
         public void probe(Probe probe) {
-            free(null).begin(null, probe);
+            takeConnection(null).start(null, probe);
         }
 
         @Override
         public void leave() {
-            nodes.remove(dial, this);
-            while (!idle.isEmpty()) {
-                idle.peek().drop();
+            nodes.remove(address, this);
+            while (!idleConnections.isEmpty()) {
+                idleConnections.peek().close();
             }
         }
 
         /**
-         * The connection that idled last, if it is sure to be open still; else a new one. Not one that carried the same
-         * job before: a late second answer to that try would be taken for this one's.
+         * Takes the idle connection that was used last and is still open, or else creates one. A connection that carried
+         * the same job before is closed, because a late second answer to that attempt would be attributed to the next.
          */
-        private WorkerConnection free(String job) {
-            for (WorkerConnection c = idle.peek(); c != null; c = idle.peek()) {
-                c.wire.look();
-                if (c != idle.peek()) {
+        private WorkerConnection takeConnection(String jobId) {
+            for (WorkerConnection connection = idleConnections.peek();
+                    connection != null;
+                    connection = idleConnections.peek()) {
+                connection.connection.look();
+                if (connection != idleConnections.peek()) {
                     continue;
                 }
-                if (job != null && job.equals(c.carried)) {
-                    c.drop();
+                if (jobId != null && jobId.equals(connection.lastJobId)) {
+                    connection.close();
                     continue;
                 }
-                idle.poll();
-                c.retire.cancel();
-                return c;
+                idleConnections.poll();
+                connection.retireTimer.cancel();
+                return connection;
             }
             return new WorkerConnection(this);
         }
     }
 
-    /** One connection to a node, with the attempt or probe it carries. */
+    /** One connection to a node, and the attempt or probe that it carries. */
     private final class WorkerConnection implements ConnectionHandler {
         private final Node node;
-        private final AnswerReader reader = new AnswerReader(ANSWER_LIMIT);
-        private Connection wire;
+        private final AnswerReader reader = new AnswerReader(MAX_ANSWER_BYTES);
+        private Connection connection;
         private Attempt attempt;
         private Probe probe;
-        private boolean up;
-        private boolean given;
-        private boolean written;
-        /** It has carried something before: what comes now may still be about that. */
-        private boolean kept;
-        /** The job that it carried last. */
-        private String carried;
-
-        private boolean gone;
+        private boolean connected;
+        private boolean requestWritten;
+        private boolean requestFlushed;
+        /** Whether it has carried a request before; bytes that arrive now may still belong to that one. */
+        private boolean reused;
+        /** The id of the job that it carried last, or null. */
+        private String lastJobId;
+
+        private boolean closed;
         private boolean running;
-        private double heardAt;
-        private TimerWheel.Timer limit;
-        private TimerWheel.Timer retire;
+        private double lastReceivedMs;
+        private TimerWheel.Timer timeoutTimer;
+        private TimerWheel.Timer retireTimer;
 
         WorkerConnection(Node node) {
             this.node = node;
-            connections++;
+            openConnections++;
         }
 
-        void begin(Attempt a, Probe p) {
-            attempt = a;
-            probe = p;
-            carried = a == null ? carried : a.sheet().id();
-            given = false;
-            written = false;
+        void start(Attempt newAttempt, Probe newProbe) {
+            attempt = newAttempt;
+            probe = newProbe;
+            lastJobId = newAttempt == null ? lastJobId : newAttempt.sheet().id();
+            requestWritten = false;
+            requestFlushed = false;
             reader.next();
-            if (p != null) {
-                limit = kit.wheel().at(kit.clock().nowMs() + probeMs(), () -> end(Ending.TIMEOUT));
+            if (newProbe != null) {
+                timeoutTimer =
+                        context.wheel().at(context.clock().nowMs() + probeTimeoutMs(), () -> endWith(Ending.TIMEOUT));
             }
-            if (wire == null) {
-                dial();
+            if (connection == null) {
+                connect();
             } else {
-                request();
+                writeRequest();
             }
         }
 
-        private void dial() {
-            if (connections > mostConnections && !WorkerLinks.this.room()) {
-                // Our own lack and no fault of the node's: nothing was sent, nothing is learned.
-                kit.counters().count("nodes.no_connection");
-                kit.wheel().at(kit.clock().nowMs(), () -> end(Ending.MOOT));
+        private void connect() {
+            if (openConnections > maxConnections && !WorkerLinks.this.closeIdleConnection()) {
+                // This process lacks connections; nothing was sent, so the ending says nothing about the node.
+                context.counters().count("nodes.no_connection");
+                context.wheel().at(context.clock().nowMs(), () -> endWith(Ending.MOOT));
                 return;
             }
-            wire = kit.network().dial(node.dial, w -> this);
-            kit.wheel().at(kit.clock().nowMs() + dialMs(), () -> {
-                if (!up) {
-                    end(Ending.CONNECT_FAILED);
+            connection = context.network().dial(node.address, opened -> this);
+            context.wheel().at(context.clock().nowMs() + connectTimeoutMs(), () -> {
+                if (!connected) {
+                    endWith(Ending.CONNECT_FAILED);
                 }
             });
         }
 
         @Override
         public void opened() {
-            up = true;
-            if (gone) {
+            connected = true;
+            if (closed) {
                 return;
             }
             if (attempt != null && !attempt.wanted()) {
-                // Told to drain while the connection came up: nothing has been written, nothing will be.
-                end(Ending.CONNECT_FAILED);
+                // The node began to drain while connecting: nothing has been written, and nothing will be.
+                endWith(Ending.CONNECT_FAILED);
             } else {
-                request();
+                writeRequest();
             }
         }
 
-        private void request() {
+        private void writeRequest() {
             if (probe != null) {
-                given = true;
-                wire.write(Answers.ascii("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n"));
+                requestWritten = true;
+                connection.write(Answers.ascii("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n"));
                 return;
             }
             var job = attempt.sheet();
@@ -237,165 +245,173 @@
                     + job.id() + "\r\nX-Lane: " + attempt.jobClass().name() + "\r\nX-Remaining-Ms: "
                     + (long) Math.max(1, attempt.leftMs()) + "\r\n" + job.fields() + "Content-Length: "
                     + job.body().remaining() + "\r\n\r\n");
-            if (repeatable(attempt)) {
-                given = true;
-                wire.write(Answers.ascii("POST "), target, fields, job.body());
-                heardAt = kit.clock().nowMs();
+            if (isRepeatable(attempt)) {
+                requestWritten = true;
+                connection.write(Answers.ascii("POST "), target, fields, job.body());
+                lastReceivedMs = context.clock().nowMs();
                 running = false;
-                watch(attempt);
+                watchForSilence(attempt);
             } else {
-                prove(target, fields, job.body().duplicate());
+                writeAllButLastByte(target, fields, job.body().duplicate());
             }
         }
 
-        /** Writes all but the last byte: an order whose connection breaks before that is written never ran. */
-        private void prove(ByteBuffer target, ByteBuffer fields, ByteBuffer body) {
-            Attempt a = attempt;
-            ByteBuffer end = body.hasRemaining() ? body : fields;
-            ByteBuffer last = end.duplicate().position(end.limit() - 1);
-            end.limit(end.limit() - 1);
-            wire.write(Answers.ascii("POST "), target, fields, body);
-            kit.wheel().at(kit.clock().nowMs() + PROVING_MS, () -> {
-                if (attempt == a) {
-                    wire.look();
+        /**
+         * Writes all but the last byte of a request, and that one a little later. An order whose connection fails before the
+         * last byte is written has certainly not run.
+         */
+        private void writeAllButLastByte(ByteBuffer target, ByteBuffer fields, ByteBuffer body) {
+            Attempt current = attempt;
+            ByteBuffer lastPart = body.hasRemaining() ? body : fields;
+            ByteBuffer last = lastPart.duplicate().position(lastPart.limit() - 1);
+            lastPart.limit(lastPart.limit() - 1);
+            connection.write(Answers.ascii("POST "), target, fields, body);
+            context.wheel().at(context.clock().nowMs() + LAST_BYTE_DELAY_MS, () -> {
+                if (attempt == current) {
+                    connection.look();
                 }
-                if (attempt != a) {
+                if (attempt != current) {
                     return;
                 }
-                if (a.wanted()) {
-                    given = true;
-                    wire.write(last);
+                if (current.wanted()) {
+                    requestWritten = true;
+                    connection.write(last);
                 } else {
-                    end(Ending.CONNECT_FAILED);
+                    endWith(Ending.CONNECT_FAILED);
                 }
             });
         }
 
-        /** Ends an attempt whose connection has fallen silent; its job may be repeated. */
-        private void watch(Attempt a) {
-            kit.wheel().at(kit.clock().nowMs() + probeMs(), () -> {
-                if (attempt != a) {
+        /** Ends a repeatable attempt with a timeout once its connection has been silent for too long. */
+        private void watchForSilence(Attempt watched) {
+            context.wheel().at(context.clock().nowMs() + probeTimeoutMs(), () -> {
+                if (attempt != watched) {
                     return;
                 }
-                double most = !reader.hasHead() || reader.status() != 200
-                        ? TAKEN_PROBES * probeMs()
+                double maxSilenceMs = !reader.hasHead() || reader.status() != 200
+                        ? MAX_SILENCE_IN_PROBE_TIMEOUTS * probeTimeoutMs()
                         : running && settings.get().progressMs() > 0
-                                ? INTERVALS * settings.get().progressMs()
+                                ? MAX_SILENCE_IN_PROGRESS_INTERVALS
+                                        * settings.get().progressMs()
                                 : Double.POSITIVE_INFINITY;
-                if (kit.clock().nowMs() - heardAt >= most) {
-                    kit.counters().count("nodes.silent");
-                    end(Ending.TIMEOUT);
+                if (context.clock().nowMs() - lastReceivedMs >= maxSilenceMs) {
+                    context.counters().count("nodes.silent");
+                    endWith(Ending.TIMEOUT);
                 } else {
-                    watch(a);
+                    watchForSilence(watched);
                 }
             });
         }
 
         private String host() {
-            return node.dial.getHostString() + ':' + node.dial.getPort();
+            return node.address.getHostString() + ':' + node.address.getPort();
         }
 
         @Override
         public void flushed() {
-            if (given && !written && attempt != null) {
+            if (requestWritten && !requestFlushed && attempt != null) {
                 attempt.whole();
             }
-            written |= given;
+            requestFlushed |= requestWritten;
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
-            if (!given) {
-                // On an idle connection they belong to nothing; before an order is whole they are no answer to it.
-                end(Ending.CONNECT_FAILED);
+        public void bytes(ByteBuffer received) {
+            if (!requestWritten) {
+                // Bytes on an idle connection, or before an order is complete, answer no request.
+                endWith(Ending.CONNECT_FAILED);
                 return;
             }
-            heardAt = kit.clock().nowMs();
+            lastReceivedMs = context.clock().nowMs();
             try {
-                boolean whole = reader.feed(in);
-                if (whole && in.hasRemaining()) {
+                boolean answerComplete = reader.feed(received);
+                if (answerComplete && received.hasRemaining()) {
                     throw new BadInput("bytes after the answer");
                 }
-                Runnable news = attempt != null && reader.hasHead() && reader.status() == 200 ? lines() : null;
-                if (news == null && whole) {
-                    news = wholeAnswer();
+                Runnable outcome =
+                        attempt != null && reader.hasHead() && reader.status() == 200 ? readProgressLines() : null;
+                if (outcome == null && answerComplete) {
+                    outcome = readWholeAnswer();
                 }
-                Attempt was = attempt;
-                if (whole) {
-                    rest();
+                Attempt endedAttempt = attempt;
+                if (answerComplete) {
+                    returnToPool();
                 }
-                if (news != null) {
-                    node.out.remove(was);
+                if (outcome != null) {
+                    node.attempts.remove(endedAttempt);
                     attempt = null;
-                    if (!whole && !gone) {
-                        // Its last line has come and its end has not: one that never comes must not hold the place.
-                        limit = kit.wheel().at(kit.clock().nowMs() + dialMs(), () -> {
-                            kit.counters().count("nodes.unended");
-                            drop();
+                    if (!answerComplete && !closed) {
+                        // The last line has come but not the end of the answer: if that never comes, the connection is
+                        // closed.
+                        timeoutTimer = context.wheel().at(context.clock().nowMs() + connectTimeoutMs(), () -> {
+                            context.counters().count("nodes.unended");
+                            close();
                         });
                     }
-                    news.run();
+                    outcome.run();
                 }
             } catch (BadMessage | BadInput e) {
-                kit.counters().count("nodes.malformed");
-                kit.log().accept("malformed answer from " + host() + ": " + e.getMessage());
-                end(kept ? Ending.RESET : Ending.ERROR); // a late second answer to what went before is no fault of this
+                context.counters().count("nodes.malformed");
+                context.log().accept("malformed answer from " + host() + ": " + e.getMessage());
+                // On a reused connection it may be a late second answer to the previous request, which is no error.
+                endWith(reused ? Ending.RESET : Ending.ERROR);
             }
         }
 
-        /** Reads the lines that have come; what the last one means, or null before it. */
-        private Runnable lines() {
-            Attempt a = attempt;
+        /** Reads the progress lines received; returns the action for the final one, or null if it has not come yet. */
+        private Runnable readProgressLines() {
+            Attempt current = attempt;
             for (byte[] line = reader.line(); line != null; line = reader.line()) {
                 if (line.length == 0 || line.length == 1 && line[0] == '\r') {
                     continue;
                 }
-                Fields f = Json.object("a job's line", line);
-                if (!f.text("id").equals(a.sheet().id())) {
+                Fields fields = Json.object("a job's line", line);
+                if (!fields.text("id").equals(current.sheet().id())) {
                     throw new BadInput("a line about another job");
                 }
-                LoadReport load = f.has("load")
-                        ? LoadReports.read(f.object("load"), settings.get().reportsFreeSlots())
+                LoadReport load = fields.has("load")
+                        ? LoadReports.read(fields.object("load"), settings.get().reportsFreeSlots())
                         : null;
-                switch (f.text("state")) {
+                switch (fields.text("state")) {
                     case "started" -> {
                         running = true;
-                        a.started();
+                        current.started();
                     }
-                    case "running" -> a.progressed(f.number("share", 0));
+                    case "running" -> current.progressed(fields.number("share", 0));
                     case "done" -> {
-                        byte[] result = f.text("result", "").getBytes(java.nio.charset.StandardCharsets.UTF_8);
-                        return () -> a.served(ByteBuffer.wrap(result), load);
+                        byte[] result = fields.text("result", "").getBytes(java.nio.charset.StandardCharsets.UTF_8);
+                        return () -> current.served(ByteBuffer.wrap(result), load);
                     }
                     case "failed" -> {
-                        return () -> a.ended(Ending.ERROR, load);
+                        return () -> current.ended(Ending.ERROR, load);
                     }
                     case "returned" -> {
-                        return () -> a.ended(Ending.FULL, load);
+                        return () -> current.ended(Ending.FULL, load);
                     }
                     case "lost" -> {
-                        return () -> a.ended(Ending.RESET, load);
+                        return () -> current.ended(Ending.RESET, load);
                     }
-                    default -> throw new BadInput("unknown state " + f.text("state"));
+                    default -> throw new BadInput("unknown state " + fields.text("state"));
                 }
-                if (attempt != a) {
-                    return null; // given up in the meantime
+                if (attempt != current) {
+                    return null; // the attempt was given up meanwhile
                 }
             }
             return null;
         }
 
-        private Runnable wholeAnswer() {
+        private Runnable readWholeAnswer() {
             int status = reader.status();
-            Attempt a = attempt;
+            Attempt endedAttempt = attempt;
             if (probe != null) {
-                Probe p = probe;
+                Probe endedProbe = probe;
                 LoadReport load = status == 200
                         ? LoadReports.read(reader.body(), settings.get().reportsFreeSlots())
                         : null;
-                return () -> p.ended(status == 200 ? Ending.OK : status == 503 ? Ending.FULL : Ending.ERROR, load);
+                return () ->
+                        endedProbe.ended(status == 200 ? Ending.OK : status == 503 ? Ending.FULL : Ending.ERROR, load);
             }
-            if (a == null) {
+            if (endedAttempt == null) {
                 return null;
             }
             String pressure = reader.head().field("X-Pressure");
@@ -404,74 +420,77 @@
                     : LoadReports.read(Answers.ascii(pressure), settings.get().reportsFreeSlots());
             boolean turnedAway =
                     (status == 503 || status == 504) && "1".equals(reader.head().field("X-Turned-Away"));
-            return () -> a.ended(status == 200 ? Ending.RESET : turnedAway ? Ending.FULL : Ending.ERROR, load);
+            return () ->
+                    endedAttempt.ended(status == 200 ? Ending.RESET : turnedAway ? Ending.FULL : Ending.ERROR, load);
         }
 
-        /** The answer is whole: the connection goes back to the pool, before the core may want it again. */
-        private void rest() {
-            if (limit != null) {
-                limit.cancel();
-                limit = null;
+        /** Returns the connection to the pool after a complete answer, before the core is called and may need it again. */
+        private void returnToPool() {
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel();
+                timeoutTimer = null;
             }
             probe = null;
-            given = false;
-            if (gone) {
+            requestWritten = false;
+            if (closed) {
                 return;
             }
-            // One that names no job may be a late second answer to the one before: the true one may be yet to come.
-            boolean whose = kept && reader.status() != 200;
-            kept = true;
-            if (!reader.keeps() || !written || whose) {
-                drop();
+            // An answer that names no job may be a late second one to the previous request; the right one may still
+            // come.
+            boolean mayBeLateAnswer = reused && reader.status() != 200;
+            reused = true;
+            if (!reader.keeps() || !requestFlushed || mayBeLateAnswer) {
+                close();
                 return;
             }
-            node.idle.push(this);
-            retire = kit.wheel().at(kit.clock().nowMs() + retireMs(), this::drop);
+            node.idleConnections.push(this);
+            retireTimer = context.wheel().at(context.clock().nowMs() + maxIdleMs(), this::close);
         }
 
         @Override
         public void ended() {
-            if (probe != null && kept && !reader.hasHead()) {
-                // The node ended a connection that it had kept: that says nothing of the node, a new one does.
-                Probe again = probe;
-                drop();
-                new WorkerConnection(node).begin(null, again);
+            if (probe != null && reused && !reader.hasHead()) {
+                // The node has closed an idle connection, which says nothing about its health: probes it again on a new
+                // one.
+                Probe retried = probe;
+                close();
+                new WorkerConnection(node).start(null, retried);
                 return;
             }
-            if ((attempt != null || probe != null) && written && reader.end()) {
+            if ((attempt != null || probe != null) && requestFlushed && reader.end()) {
                 bytes(ByteBuffer.allocate(0));
             }
-            end(up && written ? Ending.RESET : Ending.CONNECT_FAILED);
+            endWith(connected && requestFlushed ? Ending.RESET : Ending.CONNECT_FAILED);
         }
 
-        /** Ends the connection, and with the given outcome what it carries. */
-        private void end(Ending how) {
-            Attempt a = attempt;
-            Probe p = probe;
-            drop();
-            if (a != null) {
-                node.out.remove(a);
-                a.ended(how, null);
+        /** Closes the connection and ends the attempt or probe that it carries with the given ending. */
+        private void endWith(Ending ending) {
+            Attempt endedAttempt = attempt;
+            Probe endedProbe = probe;
+            close();
+            if (endedAttempt != null) {
+                node.attempts.remove(endedAttempt);
+                endedAttempt.ended(ending, null);
             }
-            if (p != null) {
-                p.ended(how, null);
+            if (endedProbe != null) {
+                endedProbe.ended(ending, null);
             }
         }
 
-        private void drop() {
-            if (gone) {
+        private void close() {
+            if (closed) {
                 return;
             }
-            gone = true;
-            connections--;
+            closed = true;
+            openConnections--;
             attempt = null;
             probe = null;
-            if (limit != null) {
-                limit.cancel();
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel();
             }
-            node.idle.remove(this);
-            if (wire != null) {
-                wire.cut();
+            node.idleConnections.remove(this);
+            if (connection != null) {
+                connection.cut();
             }
         }
     }
--- a/src/main/java/plumpost/platform/WorkerStartTimes.java
+++ b/src/main/java/plumpost/platform/WorkerStartTimes.java
@@ -6,13 +6,13 @@
 import plumpost.time.UnixTime;
 
 /**
- * When workers started, by the loop's clock. A start is converted once, when it is first heard of, and keeps that moment: a
- * step of the wall clock later on neither ends a slow start early nor holds it for longer. A start first heard of after a step
- * is taken for as young as any remembered distance of the clocks allows.
+ * Converts the start times of workers to the loop's clock. A start time is converted once, when it is first listed, and then
+ * kept, so that a later step of the wall clock neither ends a slow start early nor prolongs it. A start time first listed after
+ * a step counts as the latest moment that any remembered offset between the clocks allows.
  */
 final class WorkerStartTimes implements NodeListReader.StartTimes {
-    /** Several times the workers of the largest list; the one asked for least recently is forgotten. */
-    private static final int MOST_REMEMBERED = 65_536;
+    /** Several times the size of the largest node list; the least recently used entry is evicted. */
+    private static final int MAX_REMEMBERED = 65_536;
 
     private record Start(double bornMs, double moment) {}
 
@@ -22,7 +22,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Start> eldest) {
-            return size() > MOST_REMEMBERED;
+            return size() > MAX_REMEMBERED;
         }
     };
 
--- a/src/test/java/plumpost/platform/ShutdownScheduleTest.java
+++ b/src/test/java/plumpost/platform/ShutdownScheduleTest.java
@@ -7,31 +7,31 @@
 import net.jqwik.api.constraints.DoubleRange;
 import plumpost.time.HoldUp;
 
-/** The steps of a shutdown against the platform's promise, for any deadline and any delays that the terms allow. */
+/** The steps of a shutdown against the platform's guarantee, for any deadline and any delays within the assumed limits. */
 class ShutdownScheduleTest {
-    /** The platform's earliest SIGKILL, by the protocol page. */
-    private static double killAt(double sentAt, double longest) {
-        return sentAt + Math.min(longest, 3_000) + 700;
+    /** Returns the earliest time of SIGKILL by the protocol page. */
+    private static double killAt(double sentAtMs, double longestDeadlineMs) {
+        return sentAtMs + Math.min(longestDeadlineMs, 3_000) + 700;
     }
 
-    /** Guards the incident: signal heard late, turn late, write late, and the answers are out before SIGKILL all the same. */
+    /** Guards the answers in a shutdown: they are written before SIGKILL even if the signal, the turn and the write are late. */
     @Property
-    void answersAreOutBeforeTheKillWhateverIsHeldUp(
-            @ForAll @DoubleRange(min = 700, max = 60_000) double longest,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double heardLate,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double turnLate,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double writeLate) {
-        ShutdownSchedule schedule = ShutdownSchedule.of(heardLate, longest);
-        double written = schedule.lastCallAtMs() + turnLate + writeLate;
-        assertThat(written)
-                .isLessThan(Math.max(killAt(0, longest) - 50, ShutdownSchedule.NEWCOMERS_MS + 3 * HoldUp.MS));
-        assertThat(schedule.killAtMs()).isLessThanOrEqualTo(killAt(0, longest));
+    void answersAreWrittenBeforeSigkillDespiteDelays(
+            @ForAll @DoubleRange(min = 700, max = 60_000) double longestDeadlineMs,
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double signalDelayMs,
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double turnDelayMs,
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double writeDelayMs) {
+        ShutdownSchedule schedule = ShutdownSchedule.compute(signalDelayMs, longestDeadlineMs);
+        double writtenAtMs = schedule.lastCallAtMs() + turnDelayMs + writeDelayMs;
+        assertThat(writtenAtMs)
+                .isLessThan(Math.max(killAt(0, longestDeadlineMs) - 50, ShutdownSchedule.NEWCOMERS_MS + 3 * HoldUp.MS));
+        assertThat(schedule.killAtMs()).isLessThanOrEqualTo(killAt(0, longestDeadlineMs));
     }
 
-    /** Guards clients that do not know of the end yet: nothing is closed or cut short while new ones may come. */
+    /** Guards clients that do not know of the shutdown yet: nothing is closed or cut short while new ones may connect. */
     @Property
-    void newcomersAreServed(@ForAll @DoubleRange(min = 1, max = 60_000) double longest) {
-        ShutdownSchedule schedule = ShutdownSchedule.of(1_000, longest);
+    void newConnectionsAreServed(@ForAll @DoubleRange(min = 1, max = 60_000) double longestDeadlineMs) {
+        ShutdownSchedule schedule = ShutdownSchedule.compute(1_000, longestDeadlineMs);
         assertThat(schedule.closeIdleAtMs()).isGreaterThanOrEqualTo(1_000 + ShutdownSchedule.NEWCOMERS_MS);
         assertThat(schedule.lastCallAtMs()).isGreaterThanOrEqualTo(schedule.closeIdleAtMs());
     }
