--- a/src/test/java/plumpost/net/AcceptFailuresIT.java
+++ b/src/test/java/plumpost/net/AcceptFailuresIT.java
@@ -16,7 +16,7 @@
 import plumpost.lab.SchedulerProcess;
 import plumpost.lab.faults.FaultLibrary;
 
-/** A process whose accept fails for a while with each error that Linux documents. */
+/** A scheduler process whose {@code accept} calls fail for a while with each error that Linux documents. */
 class AcceptFailuresIT {
     private static final int CLIENTS = 12;
     private static final long FAILING_MS = 600;
@@ -24,7 +24,10 @@
     @TempDir
     private Path folder;
 
-    /** Guards the listener, its clients' times and the processor: all are accepted once that works, and nothing spins. */
+    /**
+     * Guards against clients that are never accepted after the failure, whose wait in the backlog is not counted, and against a
+     * busy loop while accepting fails.
+     */
     @Test
     @Timeout(60)
     void whoWaitsIsAcceptedOnceThatWorksAndTheWaitCounts() throws Exception {
@@ -35,21 +38,21 @@
         try (FaultLibrary faults = new FaultLibrary(null);
                 SchedulerProcess scheduler = new SchedulerProcess(file, faults.environment())) {
             scheduler.awaitReady();
-            double before = scheduler.account().cpuSeconds();
+            double cpuSecondsBefore = scheduler.account().cpuSeconds();
             faults.failAccepts(1);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 Socket client = new Socket(
                         scheduler.front().getAddress(), scheduler.front().getPort());
                 clients.add(client);
-                // With less time than accepting fails for: once it is read there is none left.
+                // Less time than accepting fails for: none is left when the request is read.
                 client.getOutputStream()
                         .write(("POST /route-plan HTTP/1.1\r\nHost: h\r\nX-Txn: a" + i + "\r\nX-Remaining-Ms: 500\r\n"
                                         + "Content-Length: 1\r\n\r\nx")
                                 .getBytes(StandardCharsets.US_ASCII));
             }
             Thread.sleep(FAILING_MS);
-            double spent = scheduler.account().cpuSeconds() - before;
+            double cpuSeconds = scheduler.account().cpuSeconds() - cpuSecondsBefore;
             faults.failAccepts(0);
             for (Socket client : clients) {
                 client.setSoTimeout(5_000);
@@ -57,13 +60,15 @@
                 client.close();
             }
             assertThat(scheduler.get("/counters")).contains("net.accept_failed.", "jobs.too_late " + CLIENTS + "\n");
-            assertThat(spent).as("seconds of processor time while calls failed").isLessThan(FAILING_MS / 1e3 / 2);
+            assertThat(cpuSeconds)
+                    .as("seconds of processor time while calls failed")
+                    .isLessThan(FAILING_MS / 1e3 / 2);
         }
     }
 
     private static String status(Socket client) throws IOException {
         byte[] answer = new byte[1024];
-        int n = client.getInputStream().read(answer);
-        return new String(answer, 0, Math.max(0, Math.min(n, 12)), StandardCharsets.US_ASCII);
+        int count = client.getInputStream().read(answer);
+        return new String(answer, 0, Math.max(0, Math.min(count, 12)), StandardCharsets.US_ASCII);
     }
 }
--- a/src/test/java/plumpost/net/SelectorLoopTest.java
+++ b/src/test/java/plumpost/net/SelectorLoopTest.java
@@ -15,120 +15,121 @@
 import plumpost.time.SystemClock;
 import plumpost.time.TimerWheel;
 
-/** The driver on real loopback sockets, at ports that the system gives. */
+/** The event loop on real loopback sockets, at ports assigned by the system. */
 class SelectorLoopTest {
     private final SystemClock clock = new SystemClock();
     private final Counters counters = new Counters();
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> received = new ArrayList<>();
 
-    /** Writes its greeting once it is up, and keeps what it hears. */
-    private ConnectionHandler user(Connection wire, String greeting, Runnable first) {
+    /** Returns a handler that writes a greeting when connected, and records what it receives. */
+    private ConnectionHandler recordingHandler(Connection connection, String greeting, Runnable beforeRecording) {
         return new ConnectionHandler() {
             @Override
             public void opened() {
-                wire.write(ByteBuffer.wrap(greeting.getBytes(StandardCharsets.US_ASCII)));
+                connection.write(ByteBuffer.wrap(greeting.getBytes(StandardCharsets.US_ASCII)));
             }
 
             @Override
             public void bytes(ByteBuffer in) {
-                first.run();
-                heard.add(StandardCharsets.US_ASCII.decode(in).toString());
+                beforeRecording.run();
+                received.add(StandardCharsets.US_ASCII.decode(in).toString());
             }
 
             @Override
             public void ended() {
-                heard.add("ended");
+                received.add("ended");
             }
         };
     }
 
-    /** Guards the memory against a peer that reads nothing: its connection ends once too much waits for it. */
+    /** Guards against memory exhaustion by a peer that reads nothing: its connection is closed at the limit of unread bytes. */
     @Test
     @Timeout(20)
-    void aPeerThatReadsNothingIsEnded() throws Exception {
-        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, heard::add);
-        try (java.net.ServerSocket deaf = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            ByteBuffer much = ByteBuffer.allocate(1 << 16);
-            loop.dial((InetSocketAddress) deaf.getLocalSocketAddress(), w -> {
+    void aPeerThatReadsNothingIsDisconnected() throws Exception {
+        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, received::add);
+        try (java.net.ServerSocket peer = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            ByteBuffer payload = ByteBuffer.allocate(1 << 16);
+            loop.dial((InetSocketAddress) peer.getLocalSocketAddress(), connection -> {
                 for (int i = 0; i < 40; i++) {
-                    w.write(much);
+                    connection.write(payload);
                 }
-                return user(w, "", () -> {});
+                return recordingHandler(connection, "", () -> {});
             });
-            loop.run(() -> heard.contains("ended"));
+            loop.run(() -> received.contains("ended"));
         }
         assertThat(counters.of("net.unread")).isPositive();
     }
 
-    /** Guards newcomers at the bound: each gets the place of one that is shed, and none is shed without need. */
+    /** Guards new connections at the maximum: each replaces one that is shed, and none is shed without need. */
     @Test
     @Timeout(20)
-    void aNewcomerGetsThePlaceOfOneThatIsShed() throws Exception {
-        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, words -> {});
-        List<Connection> places = new ArrayList<>();
-        var door = loop.listen(
+    void aNewConnectionReplacesAShedOne() throws Exception {
+        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, line -> {});
+        List<Connection> connections = new ArrayList<>();
+        var listener = loop.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                w -> {
-                    places.add(w);
-                    return user(w, "", () -> {});
+                connection -> {
+                    connections.add(connection);
+                    return recordingHandler(connection, "", () -> {});
                 },
                 2,
                 () -> {
-                    places.remove(0).cut();
+                    connections.remove(0).cut();
                     return true;
                 });
         for (int i = 0; i < 5; i++) {
-            loop.dial(door.address(), w -> user(w, "", () -> {}));
+            loop.dial(listener.address(), connection -> recordingHandler(connection, "", () -> {}));
         }
-        double end = clock.nowMs() + 10_000;
-        loop.run(() -> counters.of("net.accepted") == 5 || clock.nowMs() > end);
+        double deadlineMs = clock.nowMs() + 10_000;
+        loop.run(() -> counters.of("net.accepted") == 5 || clock.nowMs() > deadlineMs);
         assertThat(counters.of("net.accepted")).isEqualTo(5);
-        assertThat(places).hasSizeBetween(2, 3); // the last place is given before the next newcomer is known
+        assertThat(connections)
+                .hasSizeBetween(2, 3); // one connection beyond the maximum is accepted before another is shed
     }
 
-    /** Guards timers against a flood of newcomers: one turn takes a part of them, and the others come in later ones. */
+    /** Guards timers against a burst of connections: one turn accepts a part of them, and later turns the others. */
     @Test
     @Timeout(20)
-    void aFloodOfNewcomersIsTakenOverSeveralTurns() throws Exception {
-        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, words -> {});
+    void aBurstOfConnectionsIsAcceptedOverSeveralTurns() throws Exception {
+        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, line -> {});
         var listener = loop.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                connection -> user(connection, "", () -> {}),
+                connection -> recordingHandler(connection, "", () -> {}),
                 1_000,
                 () -> false);
-        List<SocketChannel> flood = new ArrayList<>();
+        List<SocketChannel> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            flood.add(SocketChannel.open(listener.address()));
+            clients.add(SocketChannel.open(listener.address()));
         }
         loop.turn(0);
         assertThat(counters.of("net.accepted")).isBetween(1L, 64L);
         loop.run(() -> counters.of("net.accepted") == 200);
-        for (SocketChannel client : flood) {
+        for (SocketChannel client : clients) {
             client.close();
         }
     }
 
     /**
-     * Guards against a reading that empties the buffer of the one around it: a front desk's request was taken again
-     * and again because sending it looked at another connection first (calm day, 724 sends after the answer).
+     * Guards against a nested read that overwrites the buffer of the outer one. Dispatching a client's request reads another
+     * connection first; with a shared buffer the same request was taken repeatedly (724 sends after the answer).
      */
     @Test
     @Timeout(20)
-    void aLookInsideAReadingLeavesItsBytesAlone() throws Exception {
-        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, heard::add);
-        List<Connection> wires = new ArrayList<>();
-        var door = loop.listen(
+    void aNestedReadLeavesTheOuterBufferIntact() throws Exception {
+        SelectorLoop loop = new SelectorLoop(clock, new TimerWheel(clock.nowMs()), counters, received::add);
+        List<Connection> connections = new ArrayList<>();
+        var listener = loop.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                w -> {
-                    wires.add(w);
-                    return user(w, "", () -> wires.forEach(Connection::look));
+                connection -> {
+                    connections.add(connection);
+                    return recordingHandler(connection, "", () -> connections.forEach(Connection::look));
                 },
                 8,
                 () -> false);
-        loop.dial(door.address(), w -> user(w, "one", () -> {}));
-        loop.dial(door.address(), w -> user(w, "two", () -> {}));
-        loop.run(() -> heard.size() == 2);
-        assertThat(heard).containsExactlyInAnyOrder("one", "two");
+        loop.dial(listener.address(), connection -> recordingHandler(connection, "one", () -> {}));
+        loop.dial(listener.address(), connection -> recordingHandler(connection, "two", () -> {}));
+        loop.run(() -> received.size() == 2);
+        assertThat(received).containsExactlyInAnyOrder("one", "two");
         assertThat(counters.of("net.fault")).isZero();
     }
 }
