--- a/src/test/java/plumpost/platform/ClientsThatLeftTest.java
+++ b/src/test/java/plumpost/platform/ClientDisconnectTest.java
@@ -12,57 +12,59 @@
 import plumpost.gearman.Packet;
 
 /**
- * Clients that leave while their request waits for its first attempt, on real connections: in each case, by each kind of
- * end and for each class, nothing of the request is sent on after that.
+ * Clients that disconnect before their request is sent to a worker, on real connections: for each way to disconnect and each
+ * class, nothing of the request is forwarded afterwards.
  */
-class ClientsThatLeftTest {
+class ClientDisconnectTest {
     private static final List<String> CLASSES = List.of("route-plan", "pickup-order");
 
-    /** How a client leaves. */
-    enum End {
+    /** The ways in which a client disconnects. */
+    enum Disconnect {
         CLOSE,
         HALF_CLOSE,
         RESET;
 
-        void of(Peer p) throws IOException {
+        void disconnect(Peer client) throws IOException {
             switch (this) {
-                case CLOSE -> p.close();
-                case HALF_CLOSE -> p.halfClose();
-                default -> p.reset();
+                case CLOSE -> client.close();
+                case HALF_CLOSE -> client.halfClose();
+                default -> client.reset();
             }
         }
     }
 
-    private static String job(String cls, String id) {
-        return SocketRig.job(cls, id, "X-Remaining-Ms: 6000\r\n", "towels");
+    private static String job(String className, String id) {
+        return SocketRig.job(className, id, "X-Remaining-Ms: 6000\r\n", "towels");
     }
 
-    /** Whether a whole request for the job has come to the only node, within so long. */
-    private static boolean sentOn(SocketRig rig, double ms) {
-        rig.pass(ms);
+    /** Returns whether a complete request for the job reaches the only node within the given time. */
+    private static boolean wasForwarded(SocketRig rig, double waitMs) {
+        rig.pass(waitMs);
         boolean sent = false;
-        for (Peer p = rig.nodes.get(0).poll(); p != null; p = rig.nodes.get(0).poll()) {
-            sent |= p.text().endsWith("\r\n\r\ntowels");
+        for (Peer node = rig.nodes.get(0).poll();
+                node != null;
+                node = rig.nodes.get(0).poll()) {
+            sent |= node.text().endsWith("\r\n\r\ntowels");
         }
         return sent;
     }
 
-    /** Guards requests read only after their client left: accepted late, read after a pause, with more bytes ahead. */
+    /** Guards requests that are read after their client has disconnected: accepted late, or read late, with more bytes pipelined. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftBeforeItsRequestWasRead(End end) throws IOException {
-        for (String cls : CLASSES) {
-            for (String ahead : List.of("", job(cls, "b"), "POST /pick", "x".repeat(5_000))) {
+    @EnumSource(Disconnect.class)
+    void disconnectBeforeTheRequestIsRead(Disconnect end) throws IOException {
+        for (String className : CLASSES) {
+            for (String ahead : List.of("", job(className, "b"), "POST /pick", "x".repeat(5_000))) {
                 for (boolean accepted : new boolean[] {false, true}) {
                     try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                         Peer client = rig.client();
                         if (accepted) {
                             rig.until("accepted", () -> rig.counters.of("net.accepted") == 1);
                         }
-                        client.send(job(cls, "a") + ahead);
-                        end.of(client);
-                        assertThat(sentOn(rig, 1_000))
-                                .as("%s with %s ahead", cls, ahead)
+                        client.send(job(className, "a") + ahead);
+                        end.disconnect(client);
+                        assertThat(wasForwarded(rig, 1_000))
+                                .as("%s with %s ahead", className, ahead)
                                 .isFalse();
                         assertThat(rig.counters.of("attempts.out")).isZero();
                         assertThat(rig.room.open()).isZero();
@@ -72,29 +74,29 @@
         }
     }
 
-    /** Guards the wait for a node: none is listed yet when the client leaves, and one comes a moment later. */
+    /** Guards the wait for a node: none is listed when the client disconnects, and one is listed a moment later. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftWhileNoNodeHadRoom(End end) throws IOException {
-        for (String cls : CLASSES) {
+    @EnumSource(Disconnect.class)
+    void disconnectWhileNoNodeIsAvailable(Disconnect end) throws IOException {
+        for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[]}");
                 Peer client = rig.client();
-                client.send(job(cls, "a"));
+                client.send(job(className, "a"));
                 rig.until("held", () -> rig.room.open() == 1);
-                end.of(client);
+                end.disconnect(client);
                 rig.until("noticed", () -> rig.room.open() == 0);
                 rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}");
-                assertThat(sentOn(rig, 1_000)).isFalse();
+                assertThat(wasForwarded(rig, 1_000)).isFalse();
                 assertThat(rig.counters.of("jobs.client_gone")).isEqualTo(1);
             }
         }
     }
 
-    /** Guards the time in which a node's connection comes up, and the proof before an order's last byte. */
+    /** Guards the time in which a node's connection is established, and the delay before an order's last byte. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftBeforeTheLastByteWasWritten(End end) throws IOException {
+    @EnumSource(Disconnect.class)
+    void disconnectBeforeTheLastByteIsWritten(Disconnect end) throws IOException {
         for (boolean up : new boolean[] {false, true}) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 Peer client = rig.client();
@@ -104,9 +106,9 @@
                 if (up) {
                     node.expect("towel");
                 }
-                end.of(client);
+                end.disconnect(client);
                 rig.until("noticed", () -> rig.room.open() == 0);
-                assertThat(sentOn(rig, 1_000)).isFalse();
+                assertThat(wasForwarded(rig, 1_000)).isFalse();
                 if (up) {
                     rig.until("the node's connection ends", node::over);
                     assertThat(node.text()).doesNotContain("s");
@@ -115,10 +117,10 @@
         }
     }
 
-    /** Guards the wait between attempts, and an answer's write side that is blocked while the client leaves. */
+    /** Guards the wait between attempts: no further attempt is made after the client has disconnected. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftBetweenAttempts(End end) throws IOException {
+    @EnumSource(Disconnect.class)
+    void disconnectBetweenAttempts(Disconnect end) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("pickup-order", "a"));
@@ -126,45 +128,45 @@
             rig.passUntil("the order", 50, () -> node.text().endsWith("towels"));
             node.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             rig.until("turned away", () -> rig.counters.of("attempts.full") == 1);
-            end.of(client);
+            end.disconnect(client);
             rig.until("noticed", () -> rig.room.open() == 0);
-            assertThat(sentOn(rig, 3_000)).isFalse();
+            assertThat(wasForwarded(rig, 3_000)).isFalse();
         }
     }
 
-    /** Guards requests behind one that is answered: their client left meanwhile, and they are never begun. */
+    /** Guards a pipelined request whose client disconnects as the first one is answered: it is never dispatched. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftWithASecondRequestAhead(End end) throws IOException {
+    @EnumSource(Disconnect.class)
+    void disconnectWithASecondRequestBuffered(Disconnect end) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("route-plan", "a") + job("pickup-order", "b"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towels");
             node.send(SocketRig.done("a"));
-            end.of(client); // the answer and the client's end cross
-            assertThat(sentOn(rig, 1_000)).isFalse();
+            end.disconnect(client); // the answer and the client's close cross
+            assertThat(wasForwarded(rig, 1_000)).isFalse();
             assertThat(rig.counters.of("attempts.out")).isEqualTo(1);
         }
     }
 
-    /** Guards a pause of the process: a node comes free in the turn in which the client left, which is not yet read. */
+    /** Guards a pause of the process: a node becomes available in the same turn as the client's close, which is not read yet. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftWhileTheLoopWasBusy(End end) throws IOException {
-        for (String cls : CLASSES) {
+    @EnumSource(Disconnect.class)
+    void disconnectWhileTheLoopIsBlocked(Disconnect end) throws IOException {
+        for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 Peer before = rig.client();
                 before.send(job("route-plan", "w"));
                 Peer node = rig.nodes.get(0).accept();
                 node.expect("towels");
                 node.send(SocketRig.done("w"));
-                before.expect("r-w"); // from here on a connection to the node is kept, and a job would go out at once
+                before.expect("r-w"); // from here on a connection to the node is idle, and a job would be sent at once
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
                 Peer client = rig.client();
-                client.send(job(cls, "a"));
+                client.send(job(className, "a"));
                 rig.until("held", () -> rig.room.open() == 1);
-                rig.after(10, () -> leave(end, client));
+                rig.after(10, () -> disconnect(end, client));
                 rig.after(
                         390,
                         () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
@@ -172,10 +174,10 @@
                 assertThat(rig.counters.of("attempts.out"))
                         .as("only the one before")
                         .isEqualTo(1);
-                assertThat(sentOn(rig, 1_000)).isFalse();
+                assertThat(wasForwarded(rig, 1_000)).isFalse();
                 assertThat(node.text()).isEmpty();
                 assertThat(rig.counters.of("jobs.client_gone")).isEqualTo(1);
-                Peer after = rig.client(); // and the module does not wait for what was never sent
+                Peer after = rig.client(); // and the dispatcher does not wait for the job that was never sent
                 after.send(job("route-plan", "z"));
                 rig.until("it goes out", () -> rig.counters.of("attempts.out") == 2);
             }
@@ -185,26 +187,32 @@
     /** Guards the same pause for a Gearman client. */
     @ParameterizedTest
     @EnumSource(
-            value = End.class,
+            value = Disconnect.class,
             names = {"CLOSE", "RESET"})
-    void whoLeftOnTheGearmanFrontWhileTheLoopWasBusy(End end) throws IOException {
-        for (String cls : CLASSES) {
+    void disconnectOnTheGearmanFrontWhileTheLoopIsBlocked(Disconnect end) throws IOException {
+        for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
                 Peer client = rig.gearmanClient();
-                client.send(Packet.Type.SUBMIT_JOB, cls, "", "towels");
-                client.send(Packet.Type.SUBMIT_JOB, cls, "", "towels"); // found to be gone by the look for the first
+                client.send(Packet.Type.SUBMIT_JOB, className, "", "towels");
+                client.send(
+                        Packet.Type.SUBMIT_JOB,
+                        className,
+                        "",
+                        "towels"); // found disconnected by the check for the first
                 rig.until("held", () -> rig.room.open() == 2);
-                rig.after(10, () -> leave(end, client));
+                rig.after(10, () -> disconnect(end, client));
                 rig.after(
                         390,
                         () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
                 rig.jump(400);
                 assertThat(rig.counters.of("attempts.out")).isZero();
-                assertThat(sentOn(rig, 1_000)).isFalse();
+                assertThat(wasForwarded(rig, 1_000)).isFalse();
                 assertThat(rig.room.open()).isZero();
                 assertThat(rig.counters.toString()).doesNotContain("guard.");
-                for (int next = 1; next <= 2; next++) { // and the module does not wait for what was never sent
+                for (int next = 1;
+                        next <= 2;
+                        next++) { // and the dispatcher does not wait for the jobs that were never sent
                     rig.client().send(job("route-plan", "z" + next));
                     int out = next;
                     rig.until("it goes out", () -> rig.counters.of("attempts.out") == out);
@@ -213,16 +221,16 @@
         }
     }
 
-    /** Guards the same pause while an order's last byte is kept back. */
+    /** Guards the same pause while an order's last byte is held back. */
     @ParameterizedTest
-    @EnumSource(End.class)
-    void whoLeftInAPauseBeforeTheLastByte(End end) throws IOException {
+    @EnumSource(Disconnect.class)
+    void disconnectDuringAPauseBeforeTheLastByte(Disconnect end) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("pickup-order", "a"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towel");
-            rig.after(1, () -> leave(end, client));
+            rig.after(1, () -> disconnect(end, client));
             rig.jump(400);
             rig.until("the node's connection ends", node::over);
             assertThat(node.text()).as("the last byte").isEmpty();
@@ -230,9 +238,9 @@
         }
     }
 
-    private static void leave(End end, Peer client) {
+    private static void disconnect(Disconnect end, Peer client) {
         try {
-            end.of(client);
+            end.disconnect(client);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/plumpost/platform/ClosingTest.java
+++ b/src/test/java/plumpost/platform/ConnectionClosingTest.java
@@ -10,38 +10,39 @@
 import plumpost.SocketRig;
 import plumpost.SocketRig.Peer;
 
-/** Bytes that arrive in the moment in which a connection or the process ends, on real connections. */
-class ClosingTest {
-    private static final String LIVE = "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n";
+/** Bytes that arrive while a connection or the process is being closed, on real connections. */
+class ConnectionClosingTest {
+    private static final String LIVENESS_REQUEST = "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n";
 
-    private static String deadlines(String ms) {
+    private static String settingsWithDeadline(String deadlineMs) {
         return Scenario.SETTINGS
-                .replace("\"deadlineMs\":8000.0", "\"deadlineMs\":" + ms)
-                .replace("\"deadlineMs\":20000.0", "\"deadlineMs\":" + ms);
+                .replace("\"deadlineMs\":8000.0", "\"deadlineMs\":" + deadlineMs)
+                .replace("\"deadlineMs\":20000.0", "\"deadlineMs\":" + deadlineMs);
     }
 
-    /** Guards a request on a connection that is closed as idle in that moment: it is taken, not read away. */
+    /** Guards a request that arrives on an idle connection as it is about to be closed: it is served, not discarded. */
     @Test
-    void aRequestThatCrossesTheIdleSweepIsServed() throws IOException {
+    void aRequestArrivingAtTheIdleTimeoutIsServed() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(LIVE);
+            client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
             rig.pass(300);
-            rig.after(1, () -> client.send(LIVE));
-            rig.jump(61_000); // the sweep that closes what idles for a minute comes after the request, in one turn
+            rig.after(1, () -> client.send(LIVENESS_REQUEST));
+            rig.jump(61_000); // the sweep that closes connections idle for a minute runs in the same turn, after the
+            // request
             client.expect("200 OK");
             assertThat(client.over()).isFalse();
         }
     }
 
-    /** Guards the same at the orderly end of the process. */
+    /** Guards the same when the shutdown closes idle connections. */
     @Test
-    void aRequestThatCrossesTheShutdownIsServed() throws IOException {
+    void aRequestArrivingAsShutdownClosesIdleConnectionsIsServed() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             Peer client = rig.client();
-            client.send(LIVE);
+            client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
             rig.platform.stop(rig.now, 700);
             rig.pass(2_200);
@@ -56,56 +57,56 @@
         }
     }
 
-    /** Guards an answer against a reset: what comes after it is read away before the connection is shut. */
+    /** Guards an answer against a reset: bytes that arrive after it are discarded before the connection is closed. */
     @Test
-    void bytesThatComeAtTheVeryCloseResetNothing() throws IOException {
+    void bytesArrivingAtTheCloseDoNotCauseAReset() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send("GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
             rig.until("an answer that closes", () -> rig.counters.of("front.answers.404") == 1);
             rig.after(1, () -> client.send("x".repeat(100_000)));
-            rig.jump(600); // the connection is shut in the same turn, after the bytes have come
+            rig.jump(600); // the connection is closed in the same turn, after the bytes have arrived
             rig.until("its end", client::over);
             assertThat(client.text()).contains("404 Not Found");
-            rig.turn(); // a registered channel is closed by the selector's next look
-            client.send("y"); // fails where a reset has come
+            rig.turn(); // a registered channel is closed by the next selection
+            client.send("y"); // fails if a reset has arrived
             assertThat(client.reset).isFalse();
         }
     }
 
-    /** Guards those that are closed for saying nothing, or for a newcomer's sake: they end in order. */
+    /** Guards connections that are closed because they are silent, or shed for a new one: they are closed without a reset. */
     @Test
-    void aConnectionClosedUnaskedEndsInOrder() throws IOException {
+    void silentAndShedConnectionsCloseWithoutReset() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer silent = rig.client();
             rig.until("accepted", () -> rig.counters.of("net.accepted") == 1);
             rig.pass(2_300);
-            inOrder(rig, silent);
+            assertClosedWithoutReset(rig, silent);
             Peer idle = rig.client();
-            idle.send(LIVE);
+            idle.send(LIVENESS_REQUEST);
             idle.expect("200 OK");
             rig.pass(200);
             assertThat(rig.platform.shed()).isTrue();
-            inOrder(rig, idle);
+            assertClosedWithoutReset(rig, idle);
         }
     }
 
-    /** What the client sends meets no reset: it sees an end, and may send it again elsewhere. */
-    private static void inOrder(SocketRig rig, Peer client) {
+    /** Checks that the client's bytes cause no reset: it sees a regular close, and can send its request elsewhere. */
+    private static void assertClosedWithoutReset(SocketRig rig, Peer client) {
         rig.turn();
-        client.send(LIVE);
+        client.send(LIVENESS_REQUEST);
         rig.until("its end", client::over);
-        client.send(LIVE); // fails where the one before was answered by a reset
+        client.send(LIVENESS_REQUEST); // fails if the previous send was answered with a reset
         assertThat(client.reset).isFalse();
     }
 
-    /** Guards answers at the end of the process: more than the system takes at once is written before it is over. */
+    /** Guards answers at the end of the process: one larger than the socket buffers is written completely before it ends. */
     @Test
-    void theProcessEndsOnlyOnceItsAnswersAreRead() throws IOException {
+    void theProcessEndsOnlyAfterItsAnswersAreWritten() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             Peer client = rig.client();
-            String much = "x".repeat(60_000);
+            String largeResult = "x".repeat(60_000);
             client.narrow();
             client.send(SocketRig.job("route-plan", "a", "Connection: close\r\n", "x"));
             Peer node = rig.nodes.get(0).accept();
@@ -113,18 +114,18 @@
             node.send(SocketRig.CHUNKED);
             rig.platform.stop(rig.now, 700);
             rig.pass(2_400);
-            node.send(SocketRig.chunk(SocketRig.line("a", much)) + "0\r\n\r\n");
+            node.send(SocketRig.chunk(SocketRig.line("a", largeResult)) + "0\r\n\r\n");
             rig.until("an answer", () -> rig.counters.of("front.answers.200") == 1);
             assertThat(rig.platform.quiet()).isTrue();
             rig.end(() -> !client.text().isEmpty() | rig.platform.quiet());
-            assertThat(client.text()).endsWith(much);
+            assertThat(client.text()).endsWith(largeResult);
             assertThat(client.reset).isFalse();
         }
     }
 
-    /** Guards whoever stands at the door in the last moment: the process answers before it is over. */
+    /** Guards connections that arrive just before the process ends: they are answered first. */
     @Test
-    void aNewcomerInTheLastMomentIsAnswered() throws IOException {
+    void aConnectionArrivingJustBeforeTheEndIsAnswered() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             rig.platform.stop(rig.now, 700);
@@ -138,22 +139,25 @@
         }
     }
 
-    /** Guards what is taken late: SIGKILL may come 0.7 s after the longest deadline, or 3.7 s after SIGTERM. */
+    /**
+     * Guards jobs taken late in a shutdown: SIGKILL may come 0.7 s after the longest deadline, which counts as at most 3 s, after
+     * SIGTERM.
+     */
     @ParameterizedTest
     @CsvSource({"1200,1900", "1500,2200", "2400,3100", "8000,3700"})
-    void whatIsTakenAfterSigtermIsAnsweredBeforeTheKill(String deadline, double kill) throws IOException {
-        try (SocketRig rig = new SocketRig(deadlines(deadline), 1)) {
+    void aJobTakenAfterSigtermIsAnsweredBeforeSigkill(String deadline, double killAfterMs) throws IOException {
+        try (SocketRig rig = new SocketRig(settingsWithDeadline(deadline), 1)) {
             rig.platform.ready();
             Peer client = rig.client();
-            client.send(LIVE);
+            client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
             rig.platform.stop(rig.now, 700);
-            double told = rig.now;
+            double stoppedAtMs = rig.now;
             rig.pass(710);
             boolean open = !client.over();
-            assertThat(open).as("connections stay where jobs have time to run").isEqualTo(kill >= 2_200);
+            assertThat(open).as("connections stay where jobs have time to run").isEqualTo(killAfterMs >= 2_200);
             client.send(SocketRig.job("pickup-order", "a", "", "x")); // no node answers it
-            rig.pass(told + kill - rig.now - 100);
+            rig.pass(stoppedAtMs + killAfterMs - rig.now - 100);
             assertThat(client.text()).as("answered by the time of SIGKILL").startsWith(open ? "HTTP/1.1 5" : "");
             assertThat(client.over()).isTrue();
             assertThat(client.reset).isFalse();
@@ -164,34 +168,34 @@
         }
     }
 
-    /** Guards an open job against its own client's flood: its answer comes first, then those to all that came ahead. */
+    /** Guards an open job against its own client's pipelined requests: its answer comes first, then the answers to all of them. */
     @Test
-    void aFloodAheadOfAnAnswerWaitsForIt() throws IOException {
-        int ahead = 4_000;
+    void manyPipelinedRequestsWaitForTheOpenJob() throws IOException {
+        int pipelined = 4_000;
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("POST /route-plan");
-            StringBuilder flood = new StringBuilder();
-            for (int i = 0; i < ahead; i++) {
-                flood.append(LIVE);
+            StringBuilder requests = new StringBuilder();
+            for (int i = 0; i < pipelined; i++) {
+                requests.append(LIVENESS_REQUEST);
             }
-            client.send(flood.toString());
+            client.send(requests.toString());
             rig.pass(500);
             assertThat(client.over()).isFalse();
             node.send(SocketRig.done("a"));
-            rig.pass(50); // what waits is read by a timer
-            rig.until("all answers", () -> rig.counters.of("front.answers.200") == ahead + 1);
+            rig.pass(50); // buffered requests are read by a timer
+            rig.until("all answers", () -> rig.counters.of("front.answers.200") == pipelined + 1);
             assertThat(client.text()).startsWith("HTTP/1.1 200 OK").contains("r-a");
             assertThat(client.reset).isFalse();
             assertThat(rig.counters.of("front.far_ahead")).isPositive();
         }
     }
 
-    /** Guards a request that was read ahead of an answer, at the end: it is answered too before its connection closes. */
+    /** Guards a pipelined request during shutdown: it is answered too before its connection is closed. */
     @Test
-    void aRequestReadAheadIsAnsweredInTheShutdown() throws IOException {
+    void aPipelinedRequestIsAnsweredDuringShutdown() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             Peer client = rig.client();
@@ -208,13 +212,13 @@
         }
     }
 
-    /** Guards jobs that the end cuts short: what no node has is refused, and another scheduler may serve it. */
+    /** Guards jobs cut short by the shutdown: one that was sent to no node is refused, so another scheduler may serve it. */
     @Test
-    void whatWasNeverSentIsRefusedAtTheEnd() throws IOException {
+    void aJobThatWasNeverSentIsRefusedAtShutdown() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 0)) {
             rig.platform.ready();
             Peer client = rig.client();
-            client.send(LIVE);
+            client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
             rig.platform.stop(rig.now, 700);
             rig.pass(1_000);
--- a/src/test/java/plumpost/platform/FieldsPassOnTest.java
+++ b/src/test/java/plumpost/platform/HeaderForwardingTest.java
@@ -6,12 +6,12 @@
 import plumpost.Scenario;
 import plumpost.SocketRig;
 
-/** What of a client's request reaches the route node, on real connections. */
-class FieldsPassOnTest {
+/** The header fields of a client's request that reach the route node, on real connections. */
+class HeaderForwardingTest {
 
-    /** Guards classes whose repeats nodes drop by a key that the client sends: without it they were refused as foreign. */
+    /** Guards classes whose repeats nodes drop by a key from the client: nodes refused requests without it as foreign. */
     @Test
-    void allFieldsButTheConnectionsOwnPassOn() throws Exception {
+    void allFieldsExceptHopByHopOnesAreForwarded() throws Exception {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             SocketRig.Peer client = rig.client();
             client.send(SocketRig.job(
@@ -23,13 +23,13 @@
                     "towels"));
             SocketRig.Peer node = rig.nodes.get(0).accept();
             rig.passUntil("the order's last byte", 50, () -> node.text().endsWith("\r\n\r\ntowels"));
-            String got = node.text();
-            assertThat(got)
+            String forwarded = node.text();
+            assertThat(forwarded)
                     .contains(
                             "\r\nIdempotency-Key: 77c8\r\n", "\r\nidempotency-note:  two\r\n", "\r\nX-Remaining-Ms: 6")
                     .doesNotContain("X-Hop", "Keep-Alive", "Expect", "Connection");
-            for (String once : new String[] {"X-Txn", "X-Lane", "X-Remaining-Ms", "Content-Length", "Host"}) {
-                assertThat(got.split("\r\n" + once + ": ", -1)).as(once).hasSize(2);
+            for (String field : new String[] {"X-Txn", "X-Lane", "X-Remaining-Ms", "Content-Length", "Host"}) {
+                assertThat(forwarded.split("\r\n" + field + ": ", -1)).as(field).hasSize(2);
             }
             node.send(SocketRig.done("a"));
             client.expect("r-a");
--- a/src/test/java/plumpost/platform/ListWatchTest.java
+++ b/src/test/java/plumpost/platform/NodeListWatchTest.java
@@ -13,11 +13,11 @@
 import plumpost.SocketRig.Peer;
 import plumpost.dispatch.Bans;
 
-/** The node list's watch on real connections: lists however they are written, and watches that end or fall silent. */
-class ListWatchTest {
+/** The watch on the node list, on real connections: lists in any layout, and watches that are closed or fall silent. */
+class NodeListWatchTest {
     private static final String PUSHED = Scenario.SETTINGS.replace("on_request", "pushed");
-    /** What a silent watch misses counts as told so long after it fell silent. */
-    private static final double TOLD_MS = 6_000;
+    /** A scheduler must know a change this long after its watch fell silent. */
+    private static final double CHANGE_KNOWN_WITHIN_MS = 6_000;
 
     private static String list(SocketRig rig, int seq, String health) {
         return "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[" + rig.host(0, health) + "]}";
@@ -30,8 +30,8 @@
                 .replace("}", "\n}");
     }
 
-    /** The watch as the scheduler opens it. */
-    private static Peer watch(SocketRig rig) {
+    /** Waits for the scheduler to open a watch and returns it. */
+    private static Peer awaitWatch(SocketRig rig) {
         Peer[] watch = new Peer[1];
         rig.passUntil("a watch", 20_000, () -> (watch[0] = rig.discovery.poll()) != null);
         return watch[0];
@@ -41,30 +41,30 @@
         return "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[" + hosts + "]}\n";
     }
 
-    /** Asks whether the process is ready, and expects a status. */
+    /** Sends a readiness check and expects the given status. */
     private static void assertReady(SocketRig rig, int status) throws IOException {
         Peer health = rig.client();
         health.send("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
         health.expect("HTTP/1.1 " + status + " ");
     }
 
-    private static boolean serves(SocketRig rig) {
+    private static boolean usesItsOnlyNode(SocketRig rig) {
         return rig.room.avoided() == 0 && rig.room.listedNodes() == 1;
     }
 
-    /** Guards lists that come indented, with blank lines, cut at any byte: each counts once it is whole, none before. */
+    /** Guards lists that are indented, contain blank lines and are split at any byte: each counts only once it is complete. */
     @Test
-    void anIndentedListIsReadWhereverItIsCut() throws IOException {
+    void anIndentedListIsReadHoweverItIsSplit() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED);
             String list = indented(list(rig, 2, "up"));
             for (int cut = 1; cut < list.length(); cut++) {
-                int before = cut;
+                int expectedLists = cut;
                 watch.send(SocketRig.chunk(list.substring(0, cut)));
                 rig.turn();
                 watch.send(SocketRig.chunk(list.substring(cut) + "\n"));
-                rig.until("list " + cut, () -> rig.counters.of("list.full") == before);
+                rig.until("list " + cut, () -> rig.counters.of("list.full") == expectedLists);
             }
             watch.send(SocketRig.chunk(list(rig, 3, "up") + list(rig, 4, "up") + "\n\n"));
             rig.until("two on one line", () -> rig.counters.of("list.full") == list.length() + 1);
@@ -78,27 +78,27 @@
         }
     }
 
-    /** Guards against what is no list: the old one stays, the watch is opened anew, nothing open is lost. */
+    /** Guards against malformed lists: the old list stays in use and the watch is reopened. */
     @ParameterizedTest
     @ValueSource(
             strings = {"7\n", "[1]\n", "{\"seq\":1,}\n", "{\"hosts\":[]}\n", "x\n", "{\"seq\":\"a\",\"hosts\":[]}\n"})
-    void aMalformedListLeavesTheOldOne(String bad) throws IOException {
+    void aMalformedListKeepsTheOldOne(String malformed) throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
-            watch.send(SocketRig.chunk(bad));
+            watch.send(SocketRig.chunk(malformed));
             rig.until("its end", () -> rig.counters.of("list.malformed") == 1);
-            assertThat(serves(rig)).isTrue();
-            watch(rig).expect("since=2");
+            assertThat(usesItsOnlyNode(rig)).isTrue();
+            awaitWatch(rig).expect("since=2");
         }
     }
 
-    /** Guards drains told to a watch that fell silent: a new one hears of them well before they count as told. */
+    /** Guards drains sent to a watch that fell silent: a new watch receives them well within the protocol's time limit. */
     @Test
-    void aSilentWatchIsOpenedAnewInTime() throws IOException {
+    void aSilentWatchIsReopenedInTime() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             for (int i = 0; i < 3; i++) {
@@ -106,49 +106,49 @@
                 watch.send(SocketRig.chunk("\n"));
             }
             rig.turn();
-            double silent = rig.now;
-            Peer anew = watch(rig);
-            anew.expect("since=2");
-            // The call stands in the service's line for a second, as long as calls there may take.
+            double silentSinceMs = rig.now;
+            Peer reopened = awaitWatch(rig);
+            reopened.expect("since=2");
+            // The call waits in the service's queue for a second, as long as calls may wait there.
             rig.pass(1_000);
-            anew.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 3, "draining")));
+            reopened.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 3, "draining")));
             rig.until("the drain", () -> rig.counters.of("list.full") == 2);
-            assertThat(rig.now - silent).isLessThan(TOLD_MS - 1_000);
+            assertThat(rig.now - silentSinceMs).isLessThan(CHANGE_KNOWN_WITHIN_MS - 1_000);
             assertThat(rig.counters.of("list.silent")).isEqualTo(1);
         }
     }
 
-    /** Guards a move of discovery while the former watch is the silent one: the new one is asked all the same. */
+    /** Guards a move of discovery while the former watch is silent: the new service is called all the same. */
     @Test
-    void aMoveWhileTheFormerWatchIsSilent() throws IOException {
+    void discoveryMovesWhileTheFormerWatchIsSilent() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer former = watch(rig);
+            Peer former = awaitWatch(rig);
             former.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             rig.pass(1_500);
             rig.platform.reload(rig.config(rig.nodes.get(0).address()));
-            Peer anew = rig.nodes.get(0).accept();
-            anew.expect("GET /registry/instances?follow=1 ");
+            Peer newWatch = rig.nodes.get(0).accept();
+            newWatch.expect("GET /registry/instances?follow=1 ");
             rig.pass(1_500);
-            assertThat(former.over()).as("the silent one is let go").isTrue();
-            anew.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 1, "draining")));
+            assertThat(former.over()).as("the silent watch is closed").isTrue();
+            newWatch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 1, "draining")));
             rig.until("the new list", () -> rig.counters.of("list.full") == 2);
             rig.pass(2_000);
             assertThat(rig.discovery.poll())
-                    .as("the former service is asked no more")
+                    .as("no more calls to the former service")
                     .isNull();
         }
     }
 
-    /** Guards a start where lists are pushed: what drained while nobody listened gets nothing of the first jobs. */
+    /** Guards a start with pushed lists: a node that began to drain while no process ran gets none of the first jobs. */
     @Test
-    void aNewProcessServesByWhatIsPushedAndNotByItsFile() throws IOException {
+    void aNewProcessUsesThePushedListNotItsFile() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
             rig.platform.ready();
             Peer early = rig.client();
             early.send(SocketRig.job("route-plan", "a", "", "x"));
             assertReady(rig, 503);
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.expect("follow=1 HTTP");
             rig.pass(300);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 9, "draining")));
@@ -161,9 +161,9 @@
         }
     }
 
-    /** Guards a start while nothing is pushed: after a while the list of the file serves, and the process is ready. */
+    /** Guards a start while nothing is pushed: after a while the saved list is used, and the process is ready. */
     @Test
-    void aNewProcessServesByItsFileWhereNothingIsPushed() throws IOException {
+    void aNewProcessUsesItsFileIfNothingIsPushed() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
             rig.platform.ready();
             Peer client = rig.client();
@@ -174,13 +174,13 @@
         }
     }
 
-    /** Guards a start where lists are asked for: what left while no process ran gets nothing of the first jobs. */
+    /** Guards a start with lists on request: a node that began to drain while no process ran gets none of the first jobs. */
     @Test
-    void aNewProcessServesByDiscoverysChangesAndNotByItsFile() throws IOException {
+    void aNewProcessAppliesDiscoverysChangesToItsFile() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 2)) {
             rig.platform.ready();
             assertReady(rig, 503);
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.expect("since=1 ");
             rig.pass(900);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(changes(2, rig.host(0, "draining"))));
@@ -198,43 +198,43 @@
         }
     }
 
-    /** Guards a short restart: clients that have not noticed it are served by the file, which is as young as that. */
+    /** Guards a short restart: clients that have not noticed it are served by the saved list, which is recent enough. */
     @Test
-    void whoComesBeforeTheProcessIsReadyIsServedByTheFile() throws IOException {
+    void jobsSubmittedBeforeReadinessAreServedByTheFile() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             assertReady(rig, 503);
             rig.client().send(SocketRig.job("route-plan", "a", "", "x"));
             rig.nodes.get(0).accept().expect("POST /route-plan");
             assertReady(rig, 200);
-            watch(rig).expect("since=1 ");
+            awaitWatch(rig).expect("since=1 ");
         }
     }
 
-    /** Guards a start at a full queue: a call that is turned away is made again, and the file does not serve meanwhile. */
+    /** Guards a start while discovery's queue is full: a refused call is repeated, and the saved list is not used meanwhile. */
     @Test
-    void aNewProcessThatIsTurnedAwayAsksAgain() throws IOException {
+    void aNewProcessAsksAgainAfterA503() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            double start = rig.now;
+            double startMs = rig.now;
             for (int i = 0; i < 4; i++) {
-                Peer turnedAway = watch(rig);
+                Peer turnedAway = awaitWatch(rig);
                 turnedAway.expect("GET ");
                 turnedAway.send("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n");
                 rig.turn();
             }
-            watch(rig).send(SocketRig.CHUNKED + SocketRig.chunk(changes(2, rig.host(0, "draining"))));
+            awaitWatch(rig).send(SocketRig.CHUNKED + SocketRig.chunk(changes(2, rig.host(0, "draining"))));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
-            assertThat(rig.now - start).isLessThan(4 * 750 + 100);
+            assertThat(rig.now - startMs).isLessThan(4 * 750 + 100);
             assertThat(rig.counters.of("list.saved"))
                     .as("lists taken from the file")
                     .isZero();
         }
     }
 
-    /** Guards readiness: discovery that cannot be reached, or says nothing, does not keep a new process from serving. */
+    /** Guards readiness: a new process starts serving even if discovery is unreachable or never answers. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aNewProcessServesByItsFileWhereDiscoveryIsAway(boolean refuses) throws IOException {
+    void aNewProcessUsesItsFileIfDiscoveryIsUnavailable(boolean refuses) throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
             if (refuses) {
                 rig.discovery.close();
@@ -251,12 +251,12 @@
         }
     }
 
-    /** Guards lists that have not changed: where an empty line is all that comes, the file's list is the one of now. */
+    /** Guards unchanged lists: if the answer holds only an empty line, the saved list is current. */
     @Test
-    void anEmptyLineSaysThatTheFilesListStillHolds() throws IOException {
+    void anEmptyLineMeansTheFilesListIsCurrent() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
-            watch(rig).send(SocketRig.CHUNKED + SocketRig.chunk("\n"));
+            awaitWatch(rig).send(SocketRig.CHUNKED + SocketRig.chunk("\n"));
             rig.pass(200);
             assertReady(rig, 503); // changes may still follow the empty line
             rig.pass(100);
@@ -266,42 +266,42 @@
     }
 
     /**
-     * Guards the protocol's bound: whatever discovery does for some seconds, a drain is known well within 6 s of its
-     * return. Connections from before the return stay silent for ever; calls are answered a second late.
+     * Guards the protocol's time limit: after any outage of some seconds, a drain is known well within 6 s of discovery's
+     * return. Connections from before the return stay silent, and calls are answered a second late.
      */
     @ParameterizedTest
     @CsvSource({"SILENT", "TURNED_AWAY", "RESET"})
-    void aChangeIsKnownInTimeWheneverDiscoveryReturns(Outage outage) throws IOException {
+    void aChangeIsKnownInTimeAfterAnyOutage(Outage outage) throws IOException {
         for (int lastsMs = 0; lastsMs <= 9_000; lastsMs += 450) {
             try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-                Peer first = watch(rig);
+                Peer first = awaitWatch(rig);
                 first.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
                 rig.until("the list", () -> rig.counters.of("list.full") == 1);
                 if (outage != Outage.SILENT) {
                     first.reset();
                 }
                 for (double end = rig.now + lastsMs; rig.now < end; rig.pass(2)) {
-                    outage.meets(rig.discovery.poll());
+                    outage.handle(rig.discovery.poll());
                 }
-                double back = rig.now;
-                Peer heard = watch(rig);
+                double restoredAtMs = rig.now;
+                Peer watch = awaitWatch(rig);
                 rig.pass(1_000);
-                heard.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 3, "draining")));
+                watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 3, "draining")));
                 rig.until("the drain", () -> rig.counters.of("list.full") == 2);
-                assertThat(rig.now - back)
+                assertThat(rig.now - restoredAtMs)
                         .as("after " + lastsMs + " ms of " + outage)
-                        .isLessThan(TOLD_MS - 1_000);
+                        .isLessThan(CHANGE_KNOWN_WITHIN_MS - 1_000);
             }
         }
     }
 
-    /** What callers meet while discovery is away. */
+    /** How discovery treats calls during an outage. */
     enum Outage {
         SILENT,
         TURNED_AWAY,
         RESET;
 
-        void meets(Peer caller) throws IOException {
+        void handle(Peer caller) throws IOException {
             if (caller != null && this == TURNED_AWAY) {
                 caller.send("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n");
             } else if (caller != null && this == RESET) {
@@ -310,13 +310,13 @@
         }
     }
 
-    /** Guards a place in discovery's queue: a late answer still counts, though a second call was opened beside it. */
+    /** Guards a place in discovery's queue: a late answer is used, although a second call has been opened. */
     @Test
-    void aCallThatIsAnsweredLateKeepsItsPlaceInTheQueue() throws IOException {
+    void aLateAnswerToTheFirstCallIsUsed() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer first = watch(rig);
+            Peer first = awaitWatch(rig);
             rig.pass(3_100);
-            Peer second = watch(rig);
+            Peer second = awaitWatch(rig);
             assertThat(first.over()).isFalse();
             first.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
@@ -325,27 +325,27 @@
         }
     }
 
-    /** Guards a discovery that counts anew after its own restart: changes below our version are not taken, the whole is. */
+    /** Guards against a discovery service that restarts its numbering: changes below the known version are not applied. */
     @Test
-    void aVersionThatWentBackIsAnsweredByAskingForTheWholeList() throws IOException {
+    void aVersionThatWentBackCausesAWholeListRequest() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
-            Peer before = watch(rig);
+            Peer before = awaitWatch(rig);
             before.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 9, "draining")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             before.reset();
-            Peer restarted = watch(rig);
+            Peer restarted = awaitWatch(rig);
             restarted.expect("since=9 ");
             restarted.send(SocketRig.CHUNKED + SocketRig.chunk(changes(2, rig.host(0, "up"))));
-            watch(rig).expect("follow=1 HTTP");
+            awaitWatch(rig).expect("follow=1 HTTP");
             assertThat(rig.counters.of("list.incremental")).isZero();
         }
     }
 
-    /** Guards against a gap: a node that the next whole list no longer names is gone, and gets nothing more. */
+    /** Guards against missed changes: a node that the next whole list omits is removed and gets no more jobs. */
     @Test
-    void aNodeThatAWholeListNoLongerNamesIsGone() throws IOException {
+    void aNodeMissingFromAWholeListIsRemoved() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 2)) {
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 5, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             assertThat(rig.room.listedNodes()).isEqualTo(1);
@@ -354,12 +354,12 @@
             }
             rig.pass(500);
             assertThat(rig.nodes.get(1).poll())
-                    .as("a connection to what is gone")
+                    .as("a connection to the removed node")
                     .isNull();
         }
     }
 
-    /** Guards large fleets: a whole, indented list of 17,000 nodes is read. */
+    /** Guards large lists: a whole, indented list of 17,000 nodes is read. */
     @Test
     void aListOfSeventeenThousandNodesIsRead() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(Scenario.SETTINGS, 1)) {
@@ -367,7 +367,7 @@
             for (int i = 0; i < 17_000; i++) {
                 hosts.append(i > 0 ? "," : "").append(rig.host(0, "up").replace("node0", "node" + i));
             }
-            watch(rig)
+            awaitWatch(rig)
                     .send(SocketRig.CHUNKED
                             + SocketRig.chunk(indented("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts + "]}")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
@@ -375,9 +375,9 @@
         }
     }
 
-    /** Guards a start while the agent that pushes lists refuses connections: what it has counts all the same. */
+    /** Guards a start while the agent that pushes lists refuses connections: the changes that it knows count all the same. */
     @Test
-    void aProcessWhoseAgentRefusesConnectionsDoesNotServeByItsFileAtOnce() throws IOException {
+    void aProcessWithAnUnreachableAgentWaitsBeforeUsingItsFile() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
             rig.discovery.close();
             rig.platform.ready();
@@ -388,76 +388,78 @@
         }
     }
 
-    /** Guards discovery's queue: after a common start the first calls of a large fleet come spread, a lone one at once. */
+    /** Guards discovery's queue: many schedulers that start together spread their first calls, a single one calls at once. */
     @Test
-    void firstCallsAreSpreadByTheFleetsSize() throws IOException {
+    void firstCallsAreSpreadByTheNumberOfSchedulers() throws IOException {
         String largeFleet = Scenario.SETTINGS.replace("\"balancers\":1,", "\"balancers\":100,");
         for (String settings : List.of(Scenario.SETTINGS, largeFleet)) {
             try (SocketRig rig = SocketRig.unanswered(settings, 1)) {
-                double start = rig.now;
-                watch(rig);
+                double startMs = rig.now;
+                awaitWatch(rig);
                 if (settings.equals(largeFleet)) {
-                    assertThat(rig.now - start).as("a draw from the seed").isBetween(100.0, 99 * 30.0 + 10);
+                    assertThat(rig.now - startMs)
+                            .as("a random delay from the seed")
+                            .isBetween(100.0, 99 * 30.0 + 10);
                 } else {
-                    assertThat(rig.now - start).isLessThanOrEqualTo(10);
+                    assertThat(rig.now - startMs).isLessThanOrEqualTo(10);
                 }
             }
         }
     }
 
-    /** Guards drains where lists are pushed: a watch that ends is open again within the time that a drain leaves. */
+    /** Guards drains with pushed lists: a closed watch is reopened before a drain would count. */
     @Test
-    void aPushedListIsWatchedAgainAtOnce() throws IOException {
+    void aClosedWatchOnAPushedListIsReopenedAtOnce() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             for (int i = 0; i < 5; i++) {
                 watch.reset();
-                double from = rig.now;
-                watch = watch(rig);
-                assertThat(rig.now - from).as("nobody listens").isLessThan(200);
+                double closedAtMs = rig.now;
+                watch = awaitWatch(rig);
+                assertThat(rig.now - closedAtMs).as("the time without a watch").isLessThan(200);
                 rig.turn();
             }
         }
     }
 
-    /** Guards operators' calls at a start: what the file names may be taken out before the pushed list has come. */
+    /** Guards operators' calls at a start: a node of the saved list can be taken offline before a list has been pushed. */
     @Test
-    void aNodeOfTheFileMayBeTakenOutBeforeTheListIsPushed() throws IOException {
+    void aNodeOfTheFileCanBeTakenOfflineBeforeTheListIsPushed() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
             assertThat(rig.room.offline("node0")).isEqualTo(Bans.Said.CHANGED);
             assertThat(rig.room.offline("node9")).isEqualTo(Bans.Said.UNKNOWN);
-            Peer watch = watch(rig);
+            Peer watch = awaitWatch(rig);
             watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, 2, "up")));
             rig.until("the list", () -> rig.counters.of("list.full") == 1);
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
             rig.pass(500);
             assertThat(rig.nodes.get(0).poll())
-                    .as("a connection to what was taken out")
+                    .as("a connection to the offline node")
                     .isNull();
             assertThat(rig.room.online("node0")).isEqualTo(Bans.Said.CHANGED);
             rig.nodes.get(0).accept().expect("POST /route-plan");
         }
     }
 
-    /** Guards the log: a service that is down is asked ten times a second, and told of once until it has answered. */
+    /** Guards the log: a service that is down is called ten times a second, and logged once until it has answered. */
     @Test
-    void aServiceThatIsDownIsLoggedOnce() throws IOException {
+    void anUnavailableServiceIsLoggedOnce() throws IOException {
         try (SocketRig rig = SocketRig.unanswered(PUSHED, 1)) {
             for (int round = 1; round <= 2; round++) {
                 for (int i = 0; i < 10; i++) {
-                    watch(rig).reset();
+                    awaitWatch(rig).reset();
                     rig.turn();
                 }
                 assertThat(rig.log)
-                        .filteredOn(l -> l.contains("connection ended"))
+                        .filteredOn(line -> line.contains("connection ended"))
                         .hasSize(round);
-                Peer watch = watch(rig);
+                Peer watch = awaitWatch(rig);
                 watch.send(SocketRig.CHUNKED + SocketRig.chunk(list(rig, round, "up")));
-                int now = round;
-                rig.until("the list", () -> rig.counters.of("list.full") == now);
+                int currentRound = round;
+                rig.until("the list", () -> rig.counters.of("list.full") == currentRound);
                 watch.reset();
                 rig.turn();
             }
--- a/src/test/java/plumpost/platform/PlatformTest.java
+++ b/src/test/java/plumpost/platform/PlatformTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import plumpost.Scenario;
 
-/** The platform's front, links and watch, in memory. */
+/** The platform's front, worker links and node list watch, on connections in memory. */
 class PlatformTest {
 
-    /** Guards the plain path: body, path and id pass on, the result comes back, the connection serves again. */
+    /** Guards the usual course: body, path and id are forwarded, the result is returned, the connection is used again. */
     @Test
-    void aJobGoesOutAndItsResultComesBack() {
+    void aJobIsSentAndItsResultReturned() {
         new Scenario(1).play("""
             desk1 send POST /route-plan?x=1 a 8000 sheets
             node1 expect POST /route-plan?x=1 a sheets
@@ -26,22 +26,22 @@
             """);
     }
 
-    /** Guards against an order that runs twice: after a reset it fails and is neither sent on nor refused. */
+    /** Guards against an order that runs twice: after its connection is closed it fails, and is neither retried nor refused. */
     @Test
     void anOrderThatMayHaveRunFails() {
-        Scenario s = new Scenario(1).play("""
+        Scenario scenario = new Scenario(1).play("""
             desk1 send POST /pickup-order a 20000 towels
             node1 expect POST /pickup-order a towels
             node1 close
             desk1 expect 500
             """);
-        assertThat(s.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
-    /** Guards the line between never ran and may have run: broken before the last byte is written, it may go again. */
+    /** Guards the distinction between orders that cannot have run and others: one cut off before its last byte is retried. */
     @Test
-    void anOrderBrokenBeforeItsLastByteGoesAgain() {
-        Scenario s = new Scenario(1).play("""
+    void anOrderInterruptedBeforeItsLastByteIsRetried() {
+        Scenario scenario = new Scenario(1).play("""
             node1 wait 10
             desk1 send POST /pickup-order a 20000 towels
             node1 wait 100000
@@ -51,12 +51,15 @@
             node1 send done a van
             desk1 expect 200 van
             """);
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
     }
 
-    /** Guards orders on connections that are reset at once (wide+reset+stale day, 5 % lost): none has run by then. */
+    /**
+     * Guards orders on connections that are reset at the first bytes: the last byte has not been written then, so they are
+     * retried. Otherwise 5 % of the orders were lost on days with such resets.
+     */
     @Test
-    void anOrderIsWholeOnlyOnAConnectionThatStands() {
+    void anOrderIsCompletedOnlyOnAConnectionThatStaysOpen() {
         new Scenario(1).play("""
             desk1 send POST /pickup-order a 20000 towels
             node1 expect "POST /pickup-order*X-Txn: a*towel"
@@ -70,10 +73,10 @@
             """);
     }
 
-    /** Guards repeatable jobs on connections that fall silent: before the job is taken, and once it runs. */
+    /** Guards repeatable jobs on connections that fall silent: before the job is acknowledged, and while it runs. */
     @Test
     void aSilentAttemptIsGivenUp() {
-        Scenario s = new Scenario(
+        Scenario scenario = new Scenario(
                         1, Scenario.SETTINGS.replace("\"rules\"", "\"familyInfo\":{\"progressMs\":2000},\"rules\""))
                 .play("""
             desk1 send POST /route-plan a 8000 x
@@ -85,12 +88,12 @@
             node1 send started a
             wait 2900
             """);
-        assertThat(s.counters.of("nodes.silent")).isEqualTo(1);
-        s.play("wait 500");
-        assertThat(s.counters.of("nodes.silent")).isEqualTo(2);
+        assertThat(scenario.counters.of("nodes.silent")).isEqualTo(1);
+        scenario.play("wait 500");
+        assertThat(scenario.counters.of("nodes.silent")).isEqualTo(2);
     }
 
-    /** Guards the outcome table: what each ending of an order's attempt means to the client. */
+    /** Guards the outcomes of orders: an attempt after which the order may have run is answered with an error. */
     @ParameterizedTest
     @CsvSource({
         "failed a,500",
@@ -101,23 +104,23 @@
         "'\"HTTP/1.1 200 E\\r\\nContent-Length: 0\\r\\n\\r\\n\"',500",
         "'\"rubbish\\r\\n\"',500"
     })
-    void whatMayHaveRunFailsAnOrder(String said, int status) {
+    void anOrderThatMayHaveRunIsAnsweredWith500(String answer, int status) {
         new Scenario(1)
                 .play("desk1 send POST /pickup-order a 20000 x\nnode1 expect POST /pickup-order a x\n" + "node1 send "
-                        + said + "\ndesk1 expect " + status);
+                        + answer + "\ndesk1 expect " + status);
     }
 
-    /** Guards that what was turned away unstarted may go again, order or not. */
+    /** Guards orders that a node turned away before starting them: they are retried. */
     @ParameterizedTest
     @CsvSource({"returned a", "'\"HTTP/1.1 504 E\\r\\nX-Turned-Away: 1\\r\\nContent-Length: 0\\r\\n\\r\\n\"'"})
-    void anOrderTurnedAwayGoesAgain(String said) {
+    void anOrderTurnedAwayIsRetried(String answer) {
         new Scenario(1)
                 .play("desk1 send POST /pickup-order a 20000 x\nnode1 expect POST /pickup-order a x\n"
-                        + "node1 send " + said + "\nwait 3000\nnode1 expect POST /pickup-order a x\n"
+                        + "node1 send " + answer + "\nwait 3000\nnode1 expect POST /pickup-order a x\n"
                         + "node1 send done a van\ndesk1 expect 200 van");
     }
 
-    /** Guards an answer whose length is not told: the connection's end makes it whole. */
+    /** Guards an answer without a stated length: the end of the connection completes it. */
     @Test
     void anAnswerMayEndWithItsConnection() {
         new Scenario(1).play("""
@@ -134,18 +137,18 @@
             """);
     }
 
-    /** Guards the stack: a line that nests without end is malformed, and the scheduler goes on. */
+    /** Guards against a stack overflow: a deeply nested line is malformed, and the scheduler keeps running. */
     @Test
-    void aLineThatNestsWithoutEndIsMalformed() {
-        Scenario s = new Scenario(1)
+    void aDeeplyNestedLineIsMalformed() {
+        Scenario scenario = new Scenario(1)
                 .play("desk1 send POST /pickup-order a 20000 x\nnode1 expect POST /pickup-order a x\n"
                         + "node1 send {\"a\":" + "[".repeat(50_000) + "\ndesk1 expect 500");
-        assertThat(s.counters.of("nodes.malformed")).isEqualTo(1);
+        assertThat(scenario.counters.of("nodes.malformed")).isEqualTo(1);
     }
 
-    /** Guards the one final answer in time: a silent node, and a list without any node. */
+    /** Guards the answer before the deadline: with a silent node, and with an empty node list. */
     @Test
-    void aJobIsAnsweredBeforeItsClientGivesUp() {
+    void aJobIsAnsweredBeforeItsDeadline() {
         new Scenario(1).play("""
             desk1 send POST /pickup-order a 500 x
             node1 expect POST /pickup-order a x
@@ -158,58 +161,64 @@
         new Scenario(0).play("desk1 send POST /route-plan a 500 x\nwait 502\ndesk1 expect 50*");
     }
 
-    /** Guards against lists as old as the file: a process asks discovery from its start, not within seconds. */
+    /** Guards against an outdated saved list: a process calls discovery at its start, not seconds later. */
     @Test
     void aNewProcessAsksForTheListAtOnce() {
-        Scenario s = new Scenario(1).play("list expect GET /registry/instances?follow=1&since=1");
-        assertThat(s.counters.of("list.asked")).isEqualTo(1);
+        Scenario scenario = new Scenario(1).play("list expect GET /registry/instances?follow=1&since=1");
+        assertThat(scenario.counters.of("list.asked")).isEqualTo(1);
     }
 
-    /** Guards drains: told while a connection comes up, nothing is written on it any more. */
+    /** Guards drains: if a node begins to drain while a connection is being established, nothing is written on it. */
     @Test
-    void nothingGoesToANodeThatDrains() {
-        Scenario s = new Scenario(1).play("""
+    void nothingIsSentToADrainingNode() {
+        Scenario scenario = new Scenario(1).play("""
             wait 4000
             list expect GET /registry/instances?follow=1&since=1
             node1 wait
             desk1 send POST /pickup-order a 20000 x
             """);
-        s.play("list send {\"seq\":2,\"whole\":false,\"hosts\":[" + Scenario.host(1, "draining", 0) + "]}");
-        s.play("wait 3000\nnode1 expect closed\ndesk1 expect nothing");
-        assertThat(s.counters.of("attempts.out")).isEqualTo(1);
+        scenario.play("list send {\"seq\":2,\"whole\":false,\"hosts\":[" + Scenario.host(1, "draining", 0) + "]}");
+        scenario.play("wait 3000\nnode1 expect closed\ndesk1 expect nothing");
+        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
-    /** Guards the watch: a silent, broken or malformed one is asked for again, from the last good version. */
+    /** Guards the watch: after silence, a close or a malformed list it is reopened from the last valid version. */
     @Test
-    void theWatchIsAskedForAgain() {
-        Scenario s = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
-        s.play("list send {\"seq\":5,\"whole\":false,\"hosts\":[{\"host\":7}," + Scenario.host(2, "up", 0) + "]}");
-        assertThat(s.counters.of("list.malformed_line")).isEqualTo(1);
-        s.play("wait 2490\nlist expect nothing\nwait 1020\nlist expect GET /registry/instances?follow=1&since=5");
-        s.play("list send {rubbish\nwait 4000\nlist expect GET /registry/instances?follow=1&since=5");
-        s.play("list close\nwait 7000\nlist expect GET /registry/instances?follow=1&since=5");
-        s.play("list send \"HTTP/1.1 503 E\\r\\nContent-Length: 0\\r\\n\\r\\n\"\nwait 8000\nlist expect GET /*since=5");
+    void theWatchIsReopenedFromTheLastVersion() {
+        Scenario scenario = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
+        scenario.play(
+                "list send {\"seq\":5,\"whole\":false,\"hosts\":[{\"host\":7}," + Scenario.host(2, "up", 0) + "]}");
+        assertThat(scenario.counters.of("list.malformed_line")).isEqualTo(1);
+        scenario.play(
+                "wait 2490\nlist expect nothing\nwait 1020\nlist expect GET /registry/instances?follow=1&since=5");
+        scenario.play("list send {rubbish\nwait 4000\nlist expect GET /registry/instances?follow=1&since=5");
+        scenario.play("list close\nwait 7000\nlist expect GET /registry/instances?follow=1&since=5");
+        scenario.play(
+                "list send \"HTTP/1.1 503 E\\r\\nContent-Length: 0\\r\\n\\r\\n\"\nwait 8000\nlist expect GET /*since=5");
     }
 
-    /** Guards a move of discovery: the whole list is asked for, and the old watch tells on until it has come. */
+    /** Guards a move of discovery: the whole list is requested, and the old watch is used until it has arrived. */
     @Test
-    void theWatchMoves() {
-        Scenario s = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
-        s.play("list send {\"seq\":90,\"whole\":false,\"hosts\":[]}");
-        s.platform.reload(s.config("127.0.0.1:8501"));
-        s.play(
+    void theWatchFollowsAMoveOfDiscovery() {
+        Scenario scenario = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
+        scenario.play("list send {\"seq\":90,\"whole\":false,\"hosts\":[]}");
+        scenario.platform.reload(scenario.config("127.0.0.1:8501"));
+        scenario.play(
                 "wait 2\nlist8501 expect GET /registry/instances?follow=1\nlist8501 send {rubbish\nlist8501 expect closed");
-        s.play("list send {\"seq\":91,\"whole\":false,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
-        s.play("wait 1600\nlist8501 expect GET /registry/instances?follow=1\nlist expect nothing");
-        s.play("list8501 send {\"seq\":3,\"whole\":true,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
-        s.play("list expect closed\nlist8501 close\nwait 1600\nlist8501 expect GET /*?follow=1&since=3");
-        s.platform.reload(s.config("127.0.0.1:8501"));
-        assertThat(s.counters.of("list.moved")).isEqualTo(1);
+        scenario.play("list send {\"seq\":91,\"whole\":false,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
+        scenario.play("wait 1600\nlist8501 expect GET /registry/instances?follow=1\nlist expect nothing");
+        scenario.play("list8501 send {\"seq\":3,\"whole\":true,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
+        scenario.play("list expect closed\nlist8501 close\nwait 1600\nlist8501 expect GET /*?follow=1&since=3");
+        scenario.platform.reload(scenario.config("127.0.0.1:8501"));
+        assertThat(scenario.counters.of("list.moved")).isEqualTo(1);
     }
 
-    /** Guards orders against kept connections, which a node may reset at the next request (stale day, 5 % lost). */
+    /**
+     * Guards orders against reused connections, which a node may reset at the next request; 5 % of the orders were
+     * lost that way.
+     */
     @Test
-    void anOrderGoesOnANewConnection() {
+    void anOrderUsesANewConnection() {
         new Scenario(1).play("""
             desk1 send POST /route-plan a 8000 x
             node1 expect POST /route-plan a x
@@ -221,10 +230,10 @@
             """);
     }
 
-    /** Guards a node's good name: a probe that finds its kept connection ended is asked again on a new one. */
+    /** Guards the health of a node: a probe whose reused connection is closed is repeated on a new one. */
     @Test
-    void aProbeOnAnEndedConnectionIsAskedAgain() {
-        Scenario s = new Scenario(
+    void aProbeOnAClosedConnectionIsRepeated() {
+        Scenario scenario = new Scenario(
                         1,
                         Scenario.SETTINGS.replace(
                                 "\"rules\"", "\"report\":{\"via\":\"pull\",\"fields\":[\"x0\"]},\"rules\""))
@@ -242,22 +251,24 @@
             node1 send "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\n\\r\\nx0=2"
             node1 expect POST /route-plan b x
             """);
-        assertThat(s.counters.of("probes.ok")).isEqualTo(2);
+        assertThat(scenario.counters.of("probes.ok")).isEqualTo(2);
     }
 
-    /** Guards nodes against our own lack of connections: it is no failure of theirs. */
+    /** Guards nodes against a lack of connections in the scheduler: it does not count as their failure. */
     @Test
-    void ourLackOfConnectionsIsNotTheNodesFault() {
-        Scenario s = new Scenario(12, Scenario.SETTINGS, 64);
+    void aLackOfConnectionsIsNotCountedAgainstNodes() {
+        Scenario scenario = new Scenario(12, Scenario.SETTINGS, 64);
         for (int i = 0; i < 24; i++) {
-            s.play("desk" + i + " send POST /pickup-order j" + i + " 20000 x");
+            scenario.play("desk" + i + " send POST /pickup-order j" + i + " 20000 x");
         }
-        s.play("wait 300");
-        assertThat(s.counters.of("nodes.no_connection")).isPositive().isEqualTo(s.counters.of("attempts.moot"));
-        assertThat(s.counters.of("attempts.connect_failed")).isZero();
+        scenario.play("wait 300");
+        assertThat(scenario.counters.of("nodes.no_connection"))
+                .isPositive()
+                .isEqualTo(scenario.counters.of("attempts.moot"));
+        assertThat(scenario.counters.of("attempts.connect_failed")).isZero();
     }
 
-    /** Guards the connection pool: one that has idled near the node's limit is not written to. */
+    /** Guards the connection pool: an idle connection is closed well before the node's keep-alive time ends. */
     @Test
     void anIdleConnectionIsRetiredEarly() {
         new Scenario(1).play("""
@@ -271,7 +282,7 @@
             """);
     }
 
-    /** Guards against bad input: each has its status, and the connection ends. */
+    /** Guards against malformed requests: each is answered with its status, and the connection is closed. */
     @ParameterizedTest
     @CsvSource({
         "400,rubbish\\r\\n",
@@ -295,15 +306,15 @@
         "405,GET /route-plan HTTP/1.1\\r\\nHost: h\\r\\n\\r\\n",
         "405,POST /health/ready HTTP/1.1\\r\\nHost: h\\r\\n\\r\\n"
     })
-    void badInputIsAnsweredAndTheConnectionEnds(int status, String bytes) {
+    void malformedRequestsAreAnsweredAndTheConnectionClosed(int status, String bytes) {
         new Scenario(0)
                 .play("desk1 send \"" + bytes + "\"\ndesk1 expect \"HTTP/1.1 " + status + "*close*\"\n"
                         + "desk1 expect closed");
     }
 
-    /** Guards against heads without end and against peers that stop half-way. */
+    /** Guards against heads that are too long, and against clients that stop within a request. */
     @Test
-    void longHeadsAndSlowPeersAreEnded() {
+    void longHeadsAndSlowClientsAreDisconnected() {
         new Scenario(0)
                 .play("desk1 send \"GET / HTTP/1.1\\r\\nA: " + "x".repeat(20_000) + "\"\ndesk1 expect 431*\n"
                         + "desk1 expect closed");
@@ -315,10 +326,10 @@
         new Scenario(0).play("desk1 send GET /health/ready\ndesk1 expect 200\nwait 9000\ndesk1 expect nothing");
     }
 
-    /** Guards usual clients against crowds of strangers: who is shed for a newcomer, in which order, and who never. */
+    /** Guards clients with jobs against many other connections: which are shed for new ones, in which order, and which never. */
     @Test
-    void strangersAreShedFirst() {
-        Scenario s = new Scenario(1).play("""
+    void connectionsThatSubmittedNoJobAreShedFirst() {
+        Scenario scenario = new Scenario(1).play("""
             desk1 expect nothing
             desk2 send GET /health/ready
             desk2 expect 200
@@ -330,16 +341,18 @@
             desk5 send "POST /rou"
             """);
         for (String next : new String[] {"desk2", "wait 400", "desk1", "desk5", "desk3"}) {
-            assertThat(next.startsWith("wait") || s.platform.shed()).as(next).isTrue();
-            s.play(next.startsWith("wait") ? next : next + " expect closed");
+            assertThat(next.startsWith("wait") || scenario.platform.shed())
+                    .as(next)
+                    .isTrue();
+            scenario.play(next.startsWith("wait") ? next : next + " expect closed");
         }
-        assertThat(s.platform.shed()).isFalse();
-        s.play("node1 expect POST /route-plan b x\nnode1 send done b r\ndesk4 expect 200 r");
+        assertThat(scenario.platform.shed()).isFalse();
+        scenario.play("node1 expect POST /route-plan b x\nnode1 send done b r\ndesk4 expect 200 r");
     }
 
-    /** Guards an open job against another client that comes under its id: that one gets an error and the end. */
+    /** Guards an open job against another client that uses its id: that one gets an error, and its connection is closed. */
     @Test
-    void anOpenJobsIdIsTakenOnce() {
+    void anOpenJobsIdIsAcceptedOnce() {
         new Scenario(1).play("""
             desk1 send POST /pickup-order a 20000 x
             desk2 send POST /pickup-order a 20000 y
@@ -353,14 +366,14 @@
     }
 
     /**
-     * Guards clients of a scheduler that ends while the next is not back: they are served on, and none is lost, whenever it was
-     * taken: the signal may have been heard late.
+     * Guards clients of a scheduler that shuts down before its successor runs: it keeps serving, and then answers every open job
+     * however long it has been open, because the signal may have been handled late.
      */
     @Test
-    void theEndServesOnAndThenAnswersWhatIsLate() {
-        Scenario s = new Scenario(1).play("desk1 send GET /health/ready\ndesk1 expect 200");
-        s.platform.stop(s.now, 700);
-        s.play("""
+    void shutdownKeepsServingAndThenAnswersOpenJobs() {
+        Scenario scenario = new Scenario(1).play("desk1 send GET /health/ready\ndesk1 expect 200");
+        scenario.platform.stop(scenario.now, 700);
+        scenario.play("""
             desk2 send POST /pickup-order early 20000 x
             node1 expect POST /pickup-order early x
             wait 2000
@@ -373,20 +386,20 @@
             desk1 expect "HTTP/1.1 500*Connection: close*"
             desk2 expect "HTTP/1.1 500*Connection: close*"
             """);
-        assertThat(s.counters.of("jobs.cut_short")).isEqualTo(2);
+        assertThat(scenario.counters.of("jobs.cut_short")).isEqualTo(2);
     }
 
-    /** Guards the orderly end: not ready, idle connections closed, held jobs answered, new ones still taken. */
+    /** Guards the shutdown: not ready, idle connections closed, open jobs finished, new jobs still accepted. */
     @Test
-    void theEndFinishesWhatIsHeld() {
-        Scenario s = new Scenario(1).play("""
+    void shutdownFinishesOpenJobs() {
+        Scenario scenario = new Scenario(1).play("""
             desk1 send POST /route-plan a 8000 x
             desk2 send GET /health/ready
             desk2 expect 200
             node1 send started a
             """);
-        s.platform.stop(s.now, 700);
-        s.play("""
+        scenario.platform.stop(scenario.now, 700);
+        scenario.play("""
             desk2 expect nothing
             wait 2302
             desk2 expect closed
@@ -394,8 +407,8 @@
             desk3 expect "HTTP/1.1 503*Connection: close*"
             desk4 send POST /route-plan b 8000 y
             """);
-        assertThat(s.platform.quiet()).isFalse();
-        s.play("""
+        assertThat(scenario.platform.quiet()).isFalse();
+        scenario.play("""
             node1 send done b r
             desk4 expect "HTTP/1.1 200*Connection: close*r"
             """);
--- a/src/test/java/plumpost/platform/RetriesTest.java
+++ b/src/test/java/plumpost/platform/RetriesTest.java
@@ -14,22 +14,22 @@
 import plumpost.config.Json;
 import plumpost.config.SettingsReader;
 
-/** Attempts that end, answers that come late or wrong, and when a job may go again, on real connections. */
+/** Failed attempts, late or wrong answers, and when a job may be retried, on real connections. */
 class RetriesTest {
     private static final double WINDOW_MS = 900;
-    /** Repeats of the order are dropped by the nodes of a group, for a time. */
+    /** Settings in which all nodes drop repeats of an order for {@link #WINDOW_MS}. */
     private static final String GUARDED = Scenario.SETTINGS.replace(
             "\"effect\":\"single_shot\"", "\"effect\":\"guarded\",\"keyScope\":\"all\",\"windowMs\":900.0");
 
     private static final String TURNED_AWAY = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
-    private static Peer order(SocketRig rig, Peer client, String id) {
+    private static Peer submitOrder(SocketRig rig, Peer client, String id) {
         client.send(SocketRig.job("pickup-order", id, "", "towels"));
-        return whole(rig, rig.nodes.get(0).accept());
+        return awaitWholeOrder(rig, rig.nodes.get(0).accept());
     }
 
-    /** The next connection to any node, within some time. */
-    private static Peer again(SocketRig rig) {
+    /** Waits for the next connection to any node and returns it. */
+    private static Peer awaitNextAttempt(SocketRig rig) {
         Peer[] next = new Peer[1];
         rig.passUntil(
                 "another attempt",
@@ -38,37 +38,37 @@
         return next[0];
     }
 
-    private static Peer whole(SocketRig rig, Peer node) {
+    private static Peer awaitWholeOrder(SocketRig rig, Peer node) {
         rig.passUntil("the order's last byte", 50, () -> node.text().endsWith("towels"));
         return node;
     }
 
-    /** Guards classes that may be repeated for a while: the core's own guard held each second attempt back. */
+    /** Guards classes that may be repeated within a window: the core's own guard once held back every second attempt. */
     @Test
-    void aGuardedJobGoesAgainWithinItsWindow() throws IOException {
+    void aGuardedJobIsRetriedWithinItsWindow() throws IOException {
         try (SocketRig rig = new SocketRig(GUARDED, 2)) {
             Peer client = rig.client();
             client.send(SocketRig.job("pickup-order", "a", "", "towels"));
-            whole(rig, again(rig)).reset();
-            whole(rig, again(rig)).send(SocketRig.done("a"));
+            awaitWholeOrder(rig, awaitNextAttempt(rig)).reset();
+            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.done("a"));
             client.expect("r-a");
             assertThat(rig.counters.of("guard.repeat")).isZero();
         }
     }
 
-    /** Guards the window's end while a repeat is under way: all but the last byte is written, and that never follows. */
+    /** Guards the end of the window during a repeat: if it ends before the last byte is written, that byte never is. */
     @Test
     void theWindowEndsBeforeTheLastByteOfARepeat() throws IOException {
         try (SocketRig rig = new SocketRig(GUARDED, 2)) {
             Peer client = rig.client();
             client.send(SocketRig.job("pickup-order", "a", "", "towels"));
-            double sent = rig.now;
-            Peer first = whole(rig, again(rig));
-            rig.pass(sent + WINDOW_MS - 4 - rig.now);
+            double sentAtMs = rig.now;
+            Peer first = awaitWholeOrder(rig, awaitNextAttempt(rig));
+            rig.pass(sentAtMs + WINDOW_MS - 4 - rig.now);
             first.reset();
-            Peer second = again(rig);
+            Peer second = awaitNextAttempt(rig);
             second.expect("towel");
-            assertThat(rig.now).isLessThan(sent + WINDOW_MS);
+            assertThat(rig.now).isLessThan(sentAtMs + WINDOW_MS);
             rig.pass(20);
             rig.until("its end", second::over);
             assertThat(second.text()).isEmpty();
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Guards the window's end while a job waits for a node: it is given up at once and not at its deadline. */
+    /** Guards the end of the window while a job waits for a node: the job fails at once and not at its deadline. */
     @ParameterizedTest
     @ValueSource(strings = {"all", "cell"})
     void theWindowEndsWhileARepeatWaits(String scope) throws IOException {
@@ -84,12 +84,12 @@
             String other = rig.host(1, scope.equals("all") ? "draining" : "up").replace("\"block\":0", "\"block\":1");
             rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}");
             Peer client = rig.client();
-            Peer first = order(rig, client, "a");
-            double sent = rig.now;
+            Peer first = submitOrder(rig, client, "a");
+            double sentAtMs = rig.now;
             rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "," + other + "]}");
             first.reset();
             rig.until("its end", () -> rig.counters.of("attempts.reset") == 1);
-            rig.pass(WINDOW_MS - (rig.now - sent) - 20);
+            rig.pass(WINDOW_MS - (rig.now - sentAtMs) - 20);
             assertThat(client.text()).as("it still waits").isEmpty();
             rig.pass(40);
             client.expect("500 Internal");
@@ -97,9 +97,9 @@
         }
     }
 
-    /** Guards kept connections: a late second answer that names no job must not leave the running one behind there. */
+    /** Guards reused connections: after a late second answer that names no job, the connection is closed and the job retried. */
     @Test
-    void aLateSecondAnswerEndsItsConnection() throws IOException {
+    void aLateSecondAnswerClosesItsConnection() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
@@ -111,16 +111,16 @@
             node.expect("X-Txn: b");
             node.send(TURNED_AWAY); // to the first job, which was answered already
             rig.until("the end of a connection on which b may run", node::over);
-            Peer anew = again(rig);
-            anew.expect("X-Txn: b");
-            anew.send(SocketRig.done("b"));
+            Peer retry = awaitNextAttempt(rig);
+            retry.expect("X-Txn: b");
+            retry.send(SocketRig.done("b"));
             client.expect("r-b");
         }
     }
 
-    /** Guards a node against blame for what went before: lines about the last job on a kept connection are no error. */
+    /** Guards a node's health: lines about the previous job on a reused connection do not count as its error. */
     @Test
-    void aLateSecondAnswerIsNoErrorOfTheNode() throws IOException {
+    void aLateSecondAnswerIsNotCountedAsANodeError() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
@@ -133,13 +133,13 @@
             node.send(SocketRig.done("a"));
             rig.until("the attempt ends", () -> rig.counters.of("attempts.reset") == 1);
             assertThat(rig.room.avoided()).isZero();
-            again(rig).expect("X-Txn: b");
+            awaitNextAttempt(rig).expect("X-Txn: b");
         }
     }
 
-    /** Guards places against answers that never end: their jobs were answered, their connections stayed for good. */
+    /** Guards connections against answers that never end: the job is answered, and its connection is closed. */
     @Test
-    void anAnswerWithoutAnEndHoldsNoPlace() throws IOException {
+    void anUnterminatedAnswerReleasesItsConnection() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
@@ -152,10 +152,10 @@
         }
     }
 
-    /** Guards orders against an answer that comes before they are whole: it is none, and they have not run. */
+    /** Guards orders against an answer before their last byte is written: it does not count, and the order is retried. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAnswerBeforeTheOrderIsWholeIsNone(boolean served) throws IOException {
+    void anAnswerBeforeTheOrderIsCompleteIsIgnored(boolean served) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("pickup-order", "a", "", "towels"));
@@ -165,12 +165,12 @@
             rig.until("the attempt ends", () -> rig.counters.of("attempts.connect_failed") == 1);
             rig.until("and its connection", node::over);
             assertThat(node.text()).as("the last byte").isEmpty();
-            whole(rig, again(rig)).send(SocketRig.done("a"));
+            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.done("a"));
             client.expect("r-a");
         }
     }
 
-    /** Guards kept connections after SIGHUP: they idle no longer than the settings in force let them. */
+    /** Guards idle connections after SIGHUP: they follow the keep-alive time of the current settings. */
     @Test
     void idleConnectionsFollowTheSettingsInForce() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
@@ -192,9 +192,9 @@
         }
     }
 
-    /** Guards a job that goes to the same node again: what comes late of its first try is no word on its second. */
+    /** Guards a job retried on the same node: a late second answer to the first attempt is not attributed to the second. */
     @Test
-    void aLateSecondAnswerToTheSameJobIsNotTakenForItsNextTry() throws IOException {
+    void aLateSecondAnswerIsNotAttributedToTheNextAttempt() throws IOException {
         String returned = SocketRig.CHUNKED + SocketRig.chunk("{\"id\":\"a\",\"state\":\"returned\"}\n") + "0\r\n\r\n";
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
@@ -202,56 +202,56 @@
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
             node.send(returned);
-            Peer anew = again(rig);
-            anew.expect("X-Txn: a");
+            Peer retry = awaitNextAttempt(rig);
+            retry.expect("X-Txn: a");
             node.send(returned); // once more, some milliseconds late
             rig.pass(100);
             assertThat(rig.counters.of("attempts.out"))
                     .as("beside the one that runs")
                     .isEqualTo(2);
-            anew.send(SocketRig.done("a"));
+            retry.send(SocketRig.done("a"));
             client.expect("r-a");
         }
     }
 
-    /** Guards a job that may be repeated against an error answer whose end never comes: it goes again. */
+    /** Guards a repeatable job against an error answer that never ends: it is retried. */
     @Test
-    void anErrorThatNeverEndsHoldsNoJob() throws IOException {
+    void aJobIsRetriedAfterAnUnterminatedErrorAnswer() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
             node.send("HTTP/1.1 500 Oops\r\nContent-Length: 100\r\n\r\nhalf");
-            Peer anew = again(rig);
+            Peer retry = awaitNextAttempt(rig);
             assertThat(node.over()).as("the first try is given up").isTrue();
-            anew.expect("X-Txn: a");
-            anew.send(SocketRig.done("a"));
+            retry.expect("X-Txn: a");
+            retry.send(SocketRig.done("a"));
             client.expect("r-a");
         }
     }
 
-    /** Guards other customers' settings: how long a node may be silent follows what they say of connections, if they do. */
+    /** Guards the timeout of silent nodes: it follows the connect timeout of the settings, or a default if there is none. */
     @ParameterizedTest
     @CsvSource({"100.0,300", "250.0,600", "0.0,600"})
-    void aNodeThatTakesNothingIsLeftByTheSettings(String dial, double limit) throws IOException {
-        try (SocketRig rig =
-                new SocketRig(Scenario.SETTINGS.replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":" + dial), 1)) {
+    void theTimeoutOfASilentNodeFollowsTheSettings(String dialTimeoutMs, double timeoutMs) throws IOException {
+        try (SocketRig rig = new SocketRig(
+                Scenario.SETTINGS.replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":" + dialTimeoutMs), 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            rig.pass(limit - 20);
+            rig.pass(timeoutMs - 20);
             assertThat(node.over()).isFalse();
             rig.pass(40);
             rig.until("it is given up", node::over);
-            again(rig).expect("X-Txn: a");
+            awaitNextAttempt(rig).expect("X-Txn: a");
         }
     }
 
-    /** Guards the loop: a connection that comes up after its node was told to drain is ended, and that is no fault. */
+    /** Guards the loop: a connection that is established after its node began to drain is closed without an internal fault. */
     @Test
-    void aConnectionThatIsOfNoUseOnceItIsUpIsNoFault() throws IOException {
+    void aConnectionNoLongerNeededOnceOpenIsNoFault() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(SocketRig.job("pickup-order", "a", "", "towels"));
--- a/src/test/java/plumpost/platform/WorkerStartTimesTest.java
+++ b/src/test/java/plumpost/platform/WorkerStartTimesTest.java
@@ -12,21 +12,21 @@
 import plumpost.config.NodeListReader;
 import plumpost.time.UnixTime;
 
-/** When workers started, as lists tell it in Unix time while this machine's wall clock steps. */
+/** The start times of workers, which lists give in Unix time, while this machine's wall clock steps. */
 class WorkerStartTimesTest {
     private static final double HOUR_MS = 3_600_000;
 
-    private double spanMs = 5_000;
-    private double wallMs = 1_700_000_000_000.0;
+    private double clockMs = 5_000;
+    private double wallClockMs = 1_700_000_000_000.0;
     private final List<String> malformed = new ArrayList<>();
     private final NodeListReader reader = new NodeListReader(
             Json.object("settings", "{}".getBytes(StandardCharsets.UTF_8)),
-            new WorkerStartTimes(new UnixTime(() -> spanMs, () -> wallMs)),
+            new WorkerStartTimes(new UnixTime(() -> clockMs, () -> wallClockMs)),
             malformed::add);
 
-    private void pass(double ms) {
-        spanMs += ms;
-        wallMs += ms;
+    private void advance(double ms) {
+        clockMs += ms;
+        wallClockMs += ms;
     }
 
     private double startedAt(String born) {
@@ -34,49 +34,49 @@
                 + born + "}]}";
         var lines = reader.read(Json.object("list", list.getBytes(StandardCharsets.UTF_8)))
                 .lines();
-        assertThat(lines).as("the line holds, whatever its time").hasSize(1);
+        assertThat(lines).as("the line counts, whatever its time").hasSize(1);
         return lines.get(0).entry().cameUpMs();
     }
 
-    private String born(double ms) {
+    private String bornMs(double ms) {
         return Long.toString((long) ms);
     }
 
-    /** Guards slow start: a step while a worker ramps neither ends its slow start nor begins it anew. */
+    /** Guards slow start: a clock step during a worker's slow start neither ends nor restarts it. */
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS, 5_000, -5_000})
-    void aStepWhileAWorkerRampsChangesNothing(double step) {
-        String born = born(wallMs);
-        double at = startedAt(born);
-        assertThat(at).isEqualTo(spanMs);
-        pass(1_000);
-        wallMs += step;
-        assertThat(startedAt(born)).isEqualTo(at);
+    void aClockStepDuringSlowStartHasNoEffect(double stepMs) {
+        String born = bornMs(wallClockMs);
+        double startedAtMs = startedAt(born);
+        assertThat(startedAtMs).isEqualTo(clockMs);
+        advance(1_000);
+        wallClockMs += stepMs;
+        assertThat(startedAt(born)).isEqualTo(startedAtMs);
     }
 
-    /** Guards the same for a start that is first heard of after the step: it is as cold as it may be. */
+    /** Guards the same for a start that is first listed after the step: the worker counts as cold as it may be. */
     @ParameterizedTest
     @ValueSource(doubles = {HOUR_MS, -HOUR_MS})
-    void aStartHeardOfAfterAStepIsNotSkipped(double step) {
-        String born = born(wallMs);
-        wallMs += step;
-        pass(1_000);
-        assertThat(startedAt(born)).isBetween(spanMs - 1_200, spanMs);
+    void aStartReportedAfterAClockStepStillCountsAsCold(double stepMs) {
+        String born = bornMs(wallClockMs);
+        wallClockMs += stepMs;
+        advance(1_000);
+        assertThat(startedAt(born)).isBetween(clockMs - 1_200, clockMs);
     }
 
-    /** Guards bad input: a time that cannot be is told with its value, and the line's drain or address still holds. */
+    /** Guards against malformed input: an impossible time is reported with its value, and the rest of the line still counts. */
     @ParameterizedTest
     @ValueSource(strings = {"-5", "1e300"})
-    void aTimeThatCannotBeIsToldAndTheLineHolds(String born) {
+    void anImpossibleStartTimeIsReportedAndTheLineStillCounts(String born) {
         assertThat(startedAt(born)).isZero();
         assertThat(malformed).singleElement().asString().contains("born_ms of w is");
     }
 
-    /** Guards against a worker held cold for ever: one from the future has started now, one of years ago long ago. */
+    /** Guards against workers that stay cold forever: a start in the future counts as now, one years ago as long ago. */
     @Test
-    void startsInTheFutureAndYearsAgo() {
-        assertThat(startedAt(born(wallMs + 48 * HOUR_MS))).isEqualTo(spanMs);
-        assertThat(startedAt("1")).isLessThan(spanMs - HOUR_MS);
+    void startTimesInTheFutureAndYearsAgoAreLimited() {
+        assertThat(startedAt(bornMs(wallClockMs + 48 * HOUR_MS))).isEqualTo(clockMs);
+        assertThat(startedAt("1")).isLessThan(clockMs - HOUR_MS);
         assertThat(startedAt("0")).isZero();
     }
 }
