--- a/src/main/java/plumpost/http/AnswerReader.java
+++ b/src/main/java/plumpost/http/AnswerReader.java
@@ -6,7 +6,7 @@
 public final class AnswerReader {
     private final int bodyLimit;
     private Head head = new Head();
-    private BodyReader body;
+    private BodyReader bodyReader;
     private int status;
     private boolean endsWithConnection;
 
@@ -16,9 +16,9 @@
     }
 
     /** Consumes bytes up to the end of the answer; returns true once it is complete. */
-    public boolean feed(ByteBuffer in) throws BadMessage {
-        while (body == null) {
-            if (!head.feed(in)) {
+    public boolean feed(ByteBuffer received) throws BadMessage {
+        while (bodyReader == null) {
+            if (!head.feed(received)) {
                 return false;
             }
             String code = head.startLinePart(1);
@@ -32,15 +32,15 @@
             }
             long framing = status == 204 || status == 304 ? 0 : head.framing();
             endsWithConnection = framing == -1;
-            body = new BodyReader(endsWithConnection ? Long.MAX_VALUE : framing, bodyLimit);
+            bodyReader = new BodyReader(endsWithConnection ? Long.MAX_VALUE : framing, bodyLimit);
         }
-        return body.feed(in);
+        return bodyReader.feed(received);
     }
 
     /** Handles the end of the connection; returns true if that completes an answer without a stated length. */
     public boolean end() {
-        if (body != null && endsWithConnection) {
-            body.endOfStream();
+        if (bodyReader != null && endsWithConnection) {
+            bodyReader.endOfStream();
             return true;
         }
         return false;
@@ -48,7 +48,7 @@
 
     /** Returns whether the head is complete. */
     public boolean hasHead() {
-        return body != null;
+        return bodyReader != null;
     }
 
     /** Returns the status code of the answer. */
@@ -63,7 +63,7 @@
 
     /** Returns the buffered part of the body. */
     public ByteBuffer body() {
-        return body.bytes();
+        return bodyReader.bytes();
     }
 
     /**
@@ -71,25 +71,27 @@
      * the end of the body the rest counts as a line.
      */
     public byte[] line() {
-        ByteBuffer in = body.bytes();
-        for (int i = 0; i < in.remaining(); i++) {
-            if (in.get(i) == '\n') {
+        ByteBuffer buffered = bodyReader.bytes();
+        for (int i = 0; i < buffered.remaining(); i++) {
+            if (buffered.get(i) == '\n') {
                 return copyAndDiscard(i, i + 1);
             }
         }
-        return body.complete() && in.hasRemaining() ? copyAndDiscard(in.remaining(), in.remaining()) : null;
+        return bodyReader.complete() && buffered.hasRemaining()
+                ? copyAndDiscard(buffered.remaining(), buffered.remaining())
+                : null;
     }
 
     /** Removes the buffered part of the body and returns it. */
     public byte[] take() {
-        int length = body.bytes().remaining();
+        int length = bodyReader.bytes().remaining();
         return copyAndDiscard(length, length);
     }
 
     private byte[] copyAndDiscard(int end, int discard) {
         byte[] taken = new byte[end];
-        body.bytes().get(taken);
-        body.discard(discard);
+        bodyReader.bytes().get(taken);
+        bodyReader.discard(discard);
         return taken;
     }
 
@@ -101,6 +103,6 @@
     /** Prepares for the next answer. */
     public void next() {
         head = new Head();
-        body = null;
+        bodyReader = null;
     }
 }
--- a/src/main/java/plumpost/http/BodyReader.java
+++ b/src/main/java/plumpost/http/BodyReader.java
@@ -26,7 +26,7 @@
     private int sizeDigits;
     private int trailerBytes;
     private int trailerLineBytes;
-    private byte[] body = new byte[0];
+    private byte[] buffer = new byte[0];
     private int length;
 
     /** Creates a reader for a body of {@code framing} bytes; -2 stands for chunks, Long.MAX_VALUE for the connection's end. */
@@ -53,37 +53,37 @@
 
     /** Returns the buffered bytes. */
     ByteBuffer bytes() {
-        return ByteBuffer.wrap(body, 0, length);
+        return ByteBuffer.wrap(buffer, 0, length);
     }
 
     /** Drops the first bytes of the buffer, which have been processed. */
     void discard(int count) {
-        System.arraycopy(body, count, body, 0, length - count);
+        System.arraycopy(buffer, count, buffer, 0, length - count);
         length -= count;
     }
 
     /** Consumes the bytes that belong to the body; returns true once it is complete. */
-    boolean feed(ByteBuffer in) throws BadMessage {
-        while (step != Step.DONE && in.hasRemaining()) {
+    boolean feed(ByteBuffer received) throws BadMessage {
+        while (step != Step.DONE && received.hasRemaining()) {
             if (step == Step.DATA) {
-                readData(in);
+                readData(received);
             } else {
-                readFraming(in.get());
+                readFraming(received.get());
             }
         }
         return complete();
     }
 
-    private void readData(ByteBuffer in) throws BadMessage {
-        int count = (int) Math.min(remaining, in.remaining());
+    private void readData(ByteBuffer received) throws BadMessage {
+        int count = (int) Math.min(remaining, received.remaining());
         if (length + count > maxBytes) {
             throw new BadMessage(413, "body too large");
         }
-        if (length + count > body.length) {
+        if (length + count > buffer.length) {
             long capacity = chunked || remaining == Long.MAX_VALUE ? 2L * (length + count) : length + remaining;
-            body = Arrays.copyOf(body, (int) Math.min(maxBytes, Math.max(length + count, capacity)));
+            buffer = Arrays.copyOf(buffer, (int) Math.min(maxBytes, Math.max(length + count, capacity)));
         }
-        in.get(body, length, count);
+        received.get(buffer, length, count);
         length += count;
         remaining -= remaining == Long.MAX_VALUE ? 0 : count;
         if (remaining == 0) {
--- a/src/main/java/plumpost/http/Head.java
+++ b/src/main/java/plumpost/http/Head.java
@@ -43,9 +43,9 @@
     private boolean complete;
 
     /** Consumes bytes up to the end of the head; returns true once it is complete. */
-    boolean feed(ByteBuffer in) throws BadMessage {
-        while (!complete && in.hasRemaining()) {
-            byte next = in.get();
+    boolean feed(ByteBuffer received) throws BadMessage {
+        while (!complete && received.hasRemaining()) {
+            byte next = received.get();
             if (length == bytes.length) {
                 if (length >= MAX_BYTES) {
                     throw new BadMessage(431, "head too large");
@@ -190,8 +190,8 @@
     }
 
     private boolean matchesIgnoreCase(String name, int start) {
-        for (int k = 0; k < name.length(); k++) {
-            if ((bytes[start + k] | 32) != (name.charAt(k) | 32)) {
+        for (int i = 0; i < name.length(); i++) {
+            if ((bytes[start + i] | 32) != (name.charAt(i) | 32)) {
                 return false;
             }
         }
--- a/src/main/java/plumpost/http/RequestReader.java
+++ b/src/main/java/plumpost/http/RequestReader.java
@@ -6,7 +6,7 @@
 public final class RequestReader {
     private final int bodyLimit;
     private Head head = new Head();
-    private BodyReader body;
+    private BodyReader bodyReader;
     private String method;
     private String version;
 
@@ -16,9 +16,9 @@
     }
 
     /** Consumes bytes up to the end of the request; returns true once it is complete. */
-    public boolean feed(ByteBuffer in) throws BadMessage {
-        if (body == null) {
-            if (!head.feed(in)) {
+    public boolean feed(ByteBuffer received) throws BadMessage {
+        if (bodyReader == null) {
+            if (!head.feed(received)) {
                 return false;
             }
             method = head.startLinePart(0);
@@ -36,21 +36,21 @@
             if (framing == -2 && version.equals("HTTP/1.0")) {
                 throw new BadMessage(400, "chunks are not known to this version");
             }
-            body = new BodyReader(framing == -1 ? 0 : framing, bodyLimit);
+            bodyReader = new BodyReader(framing == -1 ? 0 : framing, bodyLimit);
         }
-        return body.feed(in);
+        return bodyReader.feed(received);
     }
 
     /** Returns whether a request has begun and is not complete. */
     public boolean midway() {
-        return head.hasStarted() && (body == null || !body.complete());
+        return head.hasStarted() && (bodyReader == null || !bodyReader.complete());
     }
 
     /** Returns whether the client waits for status 100 before it sends the body. */
     public boolean awaitsContinue() {
-        return body != null
-                && !body.complete()
-                && body.bytes().remaining() == 0
+        return bodyReader != null
+                && !bodyReader.complete()
+                && bodyReader.bytes().remaining() == 0
                 && head.lists("Expect", "100-continue");
     }
 
@@ -78,7 +78,7 @@
 
     /** Returns the body. */
     public ByteBuffer body() {
-        return body.bytes();
+        return bodyReader.bytes();
     }
 
     /** Returns whether the client closes the connection after this request. */
@@ -89,6 +89,6 @@
     /** Prepares for the next request; buffers returned for the last one stay valid. */
     public void next() {
         head = new Head();
-        body = null;
+        bodyReader = null;
     }
 }
--- a/src/main/java/plumpost/net/Network.java
+++ b/src/main/java/plumpost/net/Network.java
@@ -9,5 +9,5 @@
      * Starts to connect. The handler's {@link ConnectionHandler#opened} or {@link ConnectionHandler#ended} is called later, never
      * before this method returns.
      */
-    Connection dial(InetSocketAddress to, Function<Connection, ConnectionHandler> user);
+    Connection dial(InetSocketAddress address, Function<Connection, ConnectionHandler> handlers);
 }
--- a/src/main/java/plumpost/net/SelectorLoop.java
+++ b/src/main/java/plumpost/net/SelectorLoop.java
@@ -51,7 +51,7 @@
     private final ArrayDeque<ByteBuffer> readBuffers = new ArrayDeque<>();
     private final ByteBuffer writeBuffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final ArrayDeque<SocketConnection> batchedWrites = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> nextTurnTasks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
     /** Accepted connections that are finishing and not closed yet. */
     private final Set<SocketConnection> finishingConnections = new LinkedHashSet<>();
 
@@ -99,7 +99,7 @@
      */
     public void turn(double maxWaitMs) throws IOException {
         double nowMs = clock.nowMs();
-        double waitMs = nextTurnTasks.isEmpty() ? wheel.quietUntil(nowMs, maxWaitMs) - nowMs : 0;
+        double waitMs = deferredTasks.isEmpty() ? wheel.quietUntil(nowMs, maxWaitMs) - nowMs : 0;
         if (waitMs <= 0) {
             selector.selectNow();
         } else {
@@ -115,8 +115,8 @@
         for (Runnable task = externalTasks.poll(); task != null; task = externalTasks.poll()) {
             runGuarded(task);
         }
-        for (int remaining = nextTurnTasks.size(); remaining > 0; remaining--) {
-            runGuarded(nextTurnTasks.poll());
+        for (int remaining = deferredTasks.size(); remaining > 0; remaining--) {
+            runGuarded(deferredTasks.poll());
         }
         for (SocketConnection connection = batchedWrites.poll();
                 connection != null;
@@ -151,8 +151,8 @@
      * Returns an I/O error as part of a counter's name, such as {@code connection_reset_by_peer}. The JDK reports the system's
      * error only in its message.
      */
-    private static String errorName(IOException e) {
-        String text = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+    private static String errorName(IOException error) {
+        String text = error.getMessage() == null ? error.getClass().getSimpleName() : error.getMessage();
         String name = text.toLowerCase(Locale.ROOT).replaceAll("[^a-z]+", "_");
         return name.substring(0, Math.min(name.length(), MAX_ERROR_NAME_LENGTH));
     }
@@ -354,13 +354,13 @@
             connection.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (connection.channel.connect(address)) {
                 connection.key = connection.channel.register(selector, SelectionKey.OP_READ, connection);
-                nextTurnTasks.add(connection::connectCompleted);
+                deferredTasks.add(connection::connectCompleted);
             } else {
                 connection.key = connection.channel.register(selector, SelectionKey.OP_CONNECT, connection);
             }
         } catch (IOException | RuntimeException e) {
             counters.count("net.dial_failed." + (e instanceof IOException failed ? errorName(failed) : "other"));
-            nextTurnTasks.add(connection::closeBroken);
+            deferredTasks.add(connection::closeBroken);
         }
         return connection;
     }
@@ -486,7 +486,7 @@
             if (unsentBytes > (listener == null ? MAX_UNREAD_BYTES : listener.maxUnreadBytes)) {
                 // A peer that does not read its answers must not exhaust the memory.
                 counters.count("net.unread");
-                nextTurnTasks.add(this::closeBroken);
+                deferredTasks.add(this::closeBroken);
                 return;
             }
             if (connected && (listener == null || !listener.batchesWrites)) {
@@ -528,7 +528,7 @@
                 updateInterestOps();
             } catch (IOException e) {
                 // Reported by a later task, so that a handler is never called back inside its own write.
-                nextTurnTasks.add(this::closeBroken);
+                deferredTasks.add(this::closeBroken);
                 return;
             }
             if (finishing) {
--- a/src/main/java/plumpost/platform/HttpFront.java
+++ b/src/main/java/plumpost/platform/HttpFront.java
@@ -66,15 +66,15 @@
     /**
      * Starts the shutdown: reports not ready at once, and keeps serving until the steps of the {@link ShutdownSchedule}.
      *
-     * @param heardAtMs when the process handled SIGTERM, which may be before this call
+     * @param signalHandledAtMs when the process handled SIGTERM, which may be before this call
      */
-    void stop(double heardAtMs) {
+    void stop(double signalHandledAtMs) {
         stopping = true;
         double longestDeadlineMs = core.settings().classes().stream()
                 .mapToDouble(JobClass::deadlineMs)
                 .max()
                 .orElse(0);
-        ShutdownSchedule schedule = ShutdownSchedule.compute(heardAtMs, longestDeadlineMs);
+        ShutdownSchedule schedule = ShutdownSchedule.compute(signalHandledAtMs, longestDeadlineMs);
         context.wheel().at(schedule.closeIdleAtMs(), this::closeIdle);
         context.wheel().at(schedule.lastCallAtMs(), this::lastCall);
     }
@@ -126,17 +126,17 @@
     }
 
     private void sweep(ClientConnection client) {
-        double quietMs = client.stateAgeMs();
-        if (!client.answersWritten() && quietMs > MAX_UNREAD_ANSWER_MS) {
+        double stateAgeMs = client.stateAgeMs();
+        if (!client.answersWritten() && stateAgeMs > MAX_UNREAD_ANSWER_MS) {
             context.counters().count("front.unread");
             client.abort();
-        } else if (client.readingRequest() && quietMs > MAX_REQUEST_MS) {
+        } else if (client.readingRequest() && stateAgeMs > MAX_REQUEST_MS) {
             context.counters().count("front.slow");
             client.reject(408, "");
-        } else if (client.neverUsed() && quietMs > MAX_REQUEST_MS) {
+        } else if (client.neverUsed() && stateAgeMs > MAX_REQUEST_MS) {
             context.counters().count("front.silent");
             client.finish();
-        } else if (client.idle() && quietMs > MAX_IDLE_MS) {
+        } else if (client.idle() && stateAgeMs > MAX_IDLE_MS) {
             client.finish();
         }
     }
--- a/src/main/java/plumpost/platform/Platform.java
+++ b/src/main/java/plumpost/platform/Platform.java
@@ -136,8 +136,8 @@
 
     /** Starts the shutdown: reports not ready, then closes idle connections and the others after their answer. */
     @Override
-    public void stop(double heardAtMs, double newcomersMs) {
-        front.stop(heardAtMs);
+    public void stop(double signalHandledAtMs, double newcomersMs) {
+        front.stop(signalHandledAtMs);
     }
 
     @Override
--- a/src/main/java/plumpost/platform/ShutdownSchedule.java
+++ b/src/main/java/plumpost/platform/ShutdownSchedule.java
@@ -29,12 +29,12 @@
     private static final double CLOSE_IDLE_BEFORE_LAST_CALL_MS = 800;
 
     /** Computes the schedule from the time at which SIGTERM was handled and the longest deadline of all classes. */
-    static ShutdownSchedule compute(double heardAtMs, double longestDeadlineMs) {
-        double killAtMs = heardAtMs
+    static ShutdownSchedule compute(double signalHandledAtMs, double longestDeadlineMs) {
+        double killAtMs = signalHandledAtMs
                 - MAX_SIGNAL_DELAY_MS
                 + Math.min(longestDeadlineMs, MAX_COUNTED_DEADLINE_MS)
                 + KILL_AFTER_DEADLINE_MS;
-        double newcomersUntilMs = heardAtMs + NEWCOMERS_MS;
+        double newcomersUntilMs = signalHandledAtMs + NEWCOMERS_MS;
         double lastCallAtMs = Math.max(newcomersUntilMs, killAtMs - LAST_CALL_BEFORE_KILL_MS);
         double closeIdleAtMs = Math.max(newcomersUntilMs, lastCallAtMs - CLOSE_IDLE_BEFORE_LAST_CALL_MS);
         return new ShutdownSchedule(closeIdleAtMs, lastCallAtMs, killAtMs);
--- a/src/test/java/plumpost/platform/ClientDisconnectTest.java
+++ b/src/test/java/plumpost/platform/ClientDisconnectTest.java
@@ -52,19 +52,19 @@
     /** Guards requests that are read after their client has disconnected: accepted late, or read late, with more bytes pipelined. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectBeforeTheRequestIsRead(Disconnect end) throws IOException {
+    void disconnectBeforeTheRequestIsRead(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
-            for (String ahead : List.of("", job(className, "b"), "POST /pick", "x".repeat(5_000))) {
+            for (String pipelined : List.of("", job(className, "b"), "POST /pick", "x".repeat(5_000))) {
                 for (boolean accepted : new boolean[] {false, true}) {
                     try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                         Peer client = rig.client();
                         if (accepted) {
                             rig.until("accepted", () -> rig.counters.of("net.accepted") == 1);
                         }
-                        client.send(job(className, "a") + ahead);
-                        end.disconnect(client);
+                        client.send(job(className, "a") + pipelined);
+                        kind.disconnect(client);
                         assertThat(wasForwarded(rig, 1_000))
-                                .as("%s with %s ahead", className, ahead)
+                                .as("%s with %s ahead", className, pipelined)
                                 .isFalse();
                         assertThat(rig.counters.of("attempts.out")).isZero();
                         assertThat(rig.room.open()).isZero();
@@ -77,14 +77,14 @@
     /** Guards the wait for a node: none is listed when the client disconnects, and one is listed a moment later. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectWhileNoNodeIsAvailable(Disconnect end) throws IOException {
+    void disconnectWhileNoNodeIsAvailable(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[]}");
                 Peer client = rig.client();
                 client.send(job(className, "a"));
                 rig.until("held", () -> rig.room.open() == 1);
-                end.disconnect(client);
+                kind.disconnect(client);
                 rig.until("noticed", () -> rig.room.open() == 0);
                 rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}");
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
@@ -96,7 +96,7 @@
     /** Guards the time in which a node's connection is established, and the delay before an order's last byte. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectBeforeTheLastByteIsWritten(Disconnect end) throws IOException {
+    void disconnectBeforeTheLastByteIsWritten(Disconnect kind) throws IOException {
         for (boolean up : new boolean[] {false, true}) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 Peer client = rig.client();
@@ -106,7 +106,7 @@
                 if (up) {
                     node.expect("towel");
                 }
-                end.disconnect(client);
+                kind.disconnect(client);
                 rig.until("noticed", () -> rig.room.open() == 0);
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
                 if (up) {
@@ -120,7 +120,7 @@
     /** Guards the wait between attempts: no further attempt is made after the client has disconnected. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectBetweenAttempts(Disconnect end) throws IOException {
+    void disconnectBetweenAttempts(Disconnect kind) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("pickup-order", "a"));
@@ -128,7 +128,7 @@
             rig.passUntil("the order", 50, () -> node.text().endsWith("towels"));
             node.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             rig.until("turned away", () -> rig.counters.of("attempts.full") == 1);
-            end.disconnect(client);
+            kind.disconnect(client);
             rig.until("noticed", () -> rig.room.open() == 0);
             assertThat(wasForwarded(rig, 3_000)).isFalse();
         }
@@ -137,14 +137,14 @@
     /** Guards a pipelined request whose client disconnects as the first one is answered: it is never dispatched. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectWithASecondRequestBuffered(Disconnect end) throws IOException {
+    void disconnectWithASecondRequestBuffered(Disconnect kind) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("route-plan", "a") + job("pickup-order", "b"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towels");
             node.send(SocketRig.done("a"));
-            end.disconnect(client); // the answer and the client's close cross
+            kind.disconnect(client); // the answer and the client's close cross
             assertThat(wasForwarded(rig, 1_000)).isFalse();
             assertThat(rig.counters.of("attempts.out")).isEqualTo(1);
         }
@@ -153,20 +153,21 @@
     /** Guards a pause of the process: a node becomes available in the same turn as the client's close, which is not read yet. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectWhileTheLoopIsBlocked(Disconnect end) throws IOException {
+    void disconnectWhileTheLoopIsBlocked(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
-                Peer before = rig.client();
-                before.send(job("route-plan", "w"));
+                Peer firstClient = rig.client();
+                firstClient.send(job("route-plan", "w"));
                 Peer node = rig.nodes.get(0).accept();
                 node.expect("towels");
                 node.send(SocketRig.done("w"));
-                before.expect("r-w"); // from here on a connection to the node is idle, and a job would be sent at once
+                firstClient.expect(
+                        "r-w"); // from here on a connection to the node is idle, and a job would be sent at once
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
                 Peer client = rig.client();
                 client.send(job(className, "a"));
                 rig.until("held", () -> rig.room.open() == 1);
-                rig.after(10, () -> disconnect(end, client));
+                rig.after(10, () -> disconnect(kind, client));
                 rig.after(
                         390,
                         () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
@@ -177,8 +178,8 @@
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
                 assertThat(node.text()).isEmpty();
                 assertThat(rig.counters.of("jobs.client_gone")).isEqualTo(1);
-                Peer after = rig.client(); // and the dispatcher does not wait for the job that was never sent
-                after.send(job("route-plan", "z"));
+                Peer nextClient = rig.client(); // and the dispatcher does not wait for the job that was never sent
+                nextClient.send(job("route-plan", "z"));
                 rig.until("it goes out", () -> rig.counters.of("attempts.out") == 2);
             }
         }
@@ -189,7 +190,7 @@
     @EnumSource(
             value = Disconnect.class,
             names = {"CLOSE", "RESET"})
-    void disconnectOnTheGearmanFrontWhileTheLoopIsBlocked(Disconnect end) throws IOException {
+    void disconnectOnTheGearmanFrontWhileTheLoopIsBlocked(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
@@ -201,7 +202,7 @@
                         "",
                         "towels"); // found disconnected by the check for the first
                 rig.until("held", () -> rig.room.open() == 2);
-                rig.after(10, () -> disconnect(end, client));
+                rig.after(10, () -> disconnect(kind, client));
                 rig.after(
                         390,
                         () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
@@ -224,13 +225,13 @@
     /** Guards the same pause while an order's last byte is held back. */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
-    void disconnectDuringAPauseBeforeTheLastByte(Disconnect end) throws IOException {
+    void disconnectDuringAPauseBeforeTheLastByte(Disconnect kind) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send(job("pickup-order", "a"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towel");
-            rig.after(1, () -> disconnect(end, client));
+            rig.after(1, () -> disconnect(kind, client));
             rig.jump(400);
             rig.until("the node's connection ends", node::over);
             assertThat(node.text()).as("the last byte").isEmpty();
@@ -238,9 +239,9 @@
         }
     }
 
-    private static void disconnect(Disconnect end, Peer client) {
+    private static void disconnect(Disconnect kind, Peer client) {
         try {
-            end.disconnect(client);
+            kind.disconnect(client);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/plumpost/platform/RetriesTest.java
+++ b/src/test/java/plumpost/platform/RetriesTest.java
@@ -34,7 +34,7 @@
         rig.passUntil(
                 "another attempt",
                 3_000,
-                () -> rig.nodes.stream().anyMatch(n -> next[0] == null && (next[0] = n.poll()) != null));
+                () -> rig.nodes.stream().anyMatch(node -> next[0] == null && (next[0] = node.poll()) != null));
         return next[0];
     }
 
