--- a/src/main/java/plumpost/net/SelectorLoop.java
+++ b/src/main/java/plumpost/net/SelectorLoop.java
@@ -319,7 +319,7 @@
 
         private boolean freePlace() {
             if (!lingeringConnections.isEmpty()) {
-                lingeringConnections.peek().closeNow();
+                lingeringConnections.peek().closeSocket();
                 return true;
             }
             return shed.getAsBoolean();
@@ -360,7 +360,7 @@
             }
         } catch (IOException | RuntimeException e) {
             counters.count("net.dial_failed." + (e instanceof IOException failed ? errorName(failed) : "other"));
-            deferredTasks.add(connection::closeBroken);
+            deferredTasks.add(connection::handleEnd);
         }
         return connection;
     }
@@ -417,17 +417,17 @@
                     flushOutgoing();
                 }
                 if (!closed && readyKey.isReadable()) {
-                    readAvailable();
+                    readFromSocket();
                 }
             } catch (IOException e) {
-                closeBroken();
+                handleEnd();
             } catch (RuntimeException | VirtualMachineError e) {
-                closeBroken();
+                handleEnd();
                 throw new IllegalStateException("on a connection: " + e, e);
             }
         }
 
-        private void readAvailable() {
+        private void readFromSocket() {
             // A handler may read another connection meanwhile, so each read uses a buffer of its own.
             ByteBuffer buffer = readBuffers.isEmpty()
                     ? ByteBuffer.allocateDirect(BUFFER_BYTES)
@@ -435,12 +435,12 @@
             try {
                 int count = read(buffer);
                 if (count == END_OF_STREAM) {
-                    closeBroken();
+                    handleEnd();
                 } else if (count > 0 && !finishing) {
                     handler.bytes(buffer.flip());
                 }
             } catch (RuntimeException | VirtualMachineError e) {
-                closeBroken();
+                handleEnd();
                 throw new IllegalStateException("on a connection: " + e, e);
             } finally {
                 readBuffers.push(buffer);
@@ -468,7 +468,7 @@
         @Override
         public void look() {
             if (connected && !closed && !paused) {
-                readAvailable();
+                readFromSocket();
             }
         }
 
@@ -486,7 +486,7 @@
             if (unsentBytes > (listener == null ? MAX_UNREAD_BYTES : listener.maxUnreadBytes)) {
                 // A peer that does not read its answers must not exhaust the memory.
                 counters.count("net.unread");
-                deferredTasks.add(this::closeBroken);
+                deferredTasks.add(this::handleEnd);
                 return;
             }
             if (connected && (listener == null || !listener.batchesWrites)) {
@@ -528,7 +528,7 @@
                 updateInterestOps();
             } catch (IOException e) {
                 // Reported by a later task, so that a handler is never called back inside its own write.
-                deferredTasks.add(this::closeBroken);
+                deferredTasks.add(this::handleEnd);
                 return;
             }
             if (finishing) {
@@ -561,9 +561,9 @@
                 if (listener != null) {
                     listener.lingeringConnections.add(this);
                 }
-                wheel.at(clock.nowMs() + LINGER_MS, this::closeNow);
+                wheel.at(clock.nowMs() + LINGER_MS, this::closeSocket);
             } catch (IOException e) {
-                closeNow();
+                closeSocket();
             }
         }
 
@@ -635,7 +635,7 @@
                 finishingConnections.add(this);
             }
             if (!connected) {
-                closeNow();
+                closeSocket();
             } else if (outgoing.isEmpty()) {
                 linger();
             }
@@ -643,20 +643,21 @@
 
         @Override
         public void cut() {
-            closeNow();
+            closeSocket();
         }
 
-        private void closeBroken() {
+        /** Closes the connection after a failure or the end of the stream, and tells the handler unless it has finished. */
+        private void handleEnd() {
             if (!closed) {
                 boolean notify = !finishing;
-                closeNow();
+                closeSocket();
                 if (notify) {
                     handler.ended();
                 }
             }
         }
 
-        private void closeNow() {
+        private void closeSocket() {
             if (closed) {
                 return;
             }
--- a/src/main/java/plumpost/platform/ClientConnection.java
+++ b/src/main/java/plumpost/platform/ClientConnection.java
@@ -325,7 +325,7 @@
         }
         context.counters().count("front.answers." + status);
         // Buffered requests are answered before the connection is closed.
-        boolean closing = close || front.closesConnections() && !pipelined.hasRemaining() || reader.closes();
+        boolean closing = close || front.closesAfterAnswers() && !pipelined.hasRemaining() || reader.closes();
         requestOpen = false;
         answered = true;
         continueSent = false;
--- a/src/main/java/plumpost/platform/HttpFront.java
+++ b/src/main/java/plumpost/platform/HttpFront.java
@@ -190,7 +190,7 @@
     }
 
     /** Returns whether each answer closes its connection. */
-    boolean closesConnections() {
+    boolean closesAfterAnswers() {
         return closingIdle;
     }
 
--- a/src/main/java/plumpost/platform/Platform.java
+++ b/src/main/java/plumpost/platform/Platform.java
@@ -136,7 +136,7 @@
 
     /** Starts the shutdown: reports not ready, then closes idle connections and the others after their answer. */
     @Override
-    public void stop(double signalHandledAtMs, double newcomersMs) {
+    public void stop(double signalHandledAtMs, double newConnectionsMs) {
         front.stop(signalHandledAtMs);
     }
 
--- a/src/main/java/plumpost/platform/ShutdownSchedule.java
+++ b/src/main/java/plumpost/platform/ShutdownSchedule.java
@@ -13,7 +13,7 @@
  */
 record ShutdownSchedule(double closeIdleAtMs, double lastCallAtMs, double killAtMs) {
     /** New connections keep arriving for less than this after SIGTERM (protocol page: 0.2 to 0.4 s). */
-    static final double NEWCOMERS_MS = 700;
+    static final double NEW_CONNECTIONS_MS = 700;
 
     private static final double MAX_COUNTED_DEADLINE_MS = 3_000;
     private static final double KILL_AFTER_DEADLINE_MS = 700;
@@ -25,7 +25,7 @@
     private static final double ANSWER_DELIVERY_MS = 100;
     /** The turn of the last call may be delayed, and its writes once more. */
     private static final double LAST_CALL_BEFORE_KILL_MS = 2 * HoldUp.MS + ANSWER_DELIVERY_MS;
-    /** The time in which jobs that arrive just before idle connections are closed can still finish. */
+    /** Jobs taken just before idle connections are closed still have this time to finish. */
     private static final double CLOSE_IDLE_BEFORE_LAST_CALL_MS = 800;
 
     /** Computes the schedule from the time at which SIGTERM was handled and the longest deadline of all classes. */
@@ -34,9 +34,9 @@
                 - MAX_SIGNAL_DELAY_MS
                 + Math.min(longestDeadlineMs, MAX_COUNTED_DEADLINE_MS)
                 + KILL_AFTER_DEADLINE_MS;
-        double newcomersUntilMs = signalHandledAtMs + NEWCOMERS_MS;
-        double lastCallAtMs = Math.max(newcomersUntilMs, killAtMs - LAST_CALL_BEFORE_KILL_MS);
-        double closeIdleAtMs = Math.max(newcomersUntilMs, lastCallAtMs - CLOSE_IDLE_BEFORE_LAST_CALL_MS);
+        double newConnectionsUntilMs = signalHandledAtMs + NEW_CONNECTIONS_MS;
+        double lastCallAtMs = Math.max(newConnectionsUntilMs, killAtMs - LAST_CALL_BEFORE_KILL_MS);
+        double closeIdleAtMs = Math.max(newConnectionsUntilMs, lastCallAtMs - CLOSE_IDLE_BEFORE_LAST_CALL_MS);
         return new ShutdownSchedule(closeIdleAtMs, lastCallAtMs, killAtMs);
     }
 }
--- a/src/test/java/plumpost/platform/ShutdownScheduleTest.java
+++ b/src/test/java/plumpost/platform/ShutdownScheduleTest.java
@@ -24,7 +24,8 @@
         ShutdownSchedule schedule = ShutdownSchedule.compute(signalDelayMs, longestDeadlineMs);
         double writtenAtMs = schedule.lastCallAtMs() + turnDelayMs + writeDelayMs;
         assertThat(writtenAtMs)
-                .isLessThan(Math.max(killAt(0, longestDeadlineMs) - 50, ShutdownSchedule.NEWCOMERS_MS + 3 * HoldUp.MS));
+                .isLessThan(Math.max(
+                        killAt(0, longestDeadlineMs) - 50, ShutdownSchedule.NEW_CONNECTIONS_MS + 3 * HoldUp.MS));
         assertThat(schedule.killAtMs()).isLessThanOrEqualTo(killAt(0, longestDeadlineMs));
     }
 
@@ -32,7 +33,7 @@
     @Property
     void newConnectionsAreServed(@ForAll @DoubleRange(min = 1, max = 60_000) double longestDeadlineMs) {
         ShutdownSchedule schedule = ShutdownSchedule.compute(1_000, longestDeadlineMs);
-        assertThat(schedule.closeIdleAtMs()).isGreaterThanOrEqualTo(1_000 + ShutdownSchedule.NEWCOMERS_MS);
+        assertThat(schedule.closeIdleAtMs()).isGreaterThanOrEqualTo(1_000 + ShutdownSchedule.NEW_CONNECTIONS_MS);
         assertThat(schedule.lastCallAtMs()).isGreaterThanOrEqualTo(schedule.closeIdleAtMs());
     }
 }
