--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -17,844 +17,962 @@
 import java.util.TreeSet;
 
 /**
- * Every decision of one dispatcher, by Deferred Assignment Scheduling (docs/design.md).
- * Its interface, types, events and actions, is in Dispatcher.java beside this file.
+ * Makes every decision of one dispatcher by Deferred Assignment Scheduling (docs/design.md). Jobs are held in queues
+ * and assigned in the order of their aged cost estimates, each only when a worker has an estimated free slot for it.
  */
 public final class Logic implements Dispatcher {
-    static final double THETA = 2; // bar, in slots, of a worker of which nothing is known: DAS(2)
-    static final double AGING_MS = 100; // held estimates halve each 100 ms (T_u, F_u), continuously
-    static final double EVIDENCE_RUNS = 1.5; // mean run times until evidence is void: the jobs seen are gone
-    static final int PROBES_PER_ROUND = 3; // asked for one held job: more costs fees, fewer find no room
-    static final int PROBE_ROUNDS = 2; // for one job, before it goes by what is known
-    static final double SLOT_GAIN = 0.1; // how fast a kind's slots follow what reports say
-    static final int DRAWS = 6; // for each probe: asked is the one where the job should end first
-    static final double FEE_WEIGHT = 3; // times to the aim that sending at full price is worth
-    // planned of a cold budget, by work and by number
-    static final double COLD_PART = 0.4;
-    static final double COLD_JOBS = 0.6;
-    // ejection of a failing worker
-    static final double EJECT_MS = 500;
-    static final double EJECT_MAX_MS = 8_000;
-    static final double EJECT_CAP = 0.5; // beyond this part of the fleet the cause is not the workers
-    static final double PROMPT_GAIN = 0.1; // how fast the share of attempts that start at once follows
-    static final double COMMIT_SHARE = 0.5; // prompt starts below which theta alone is no longer believed
-    static final double LATE_STEPS = 1e9; // what can no longer be in time comes after all that can
-    static final double GIVE_STEPS = 10; // halvings that a factor 2 of worth counts when jobs must give
-    static final double PRESSED_MS = 2_000; // since a held job ran out of time: longer than gaps between them
-    static final double SPARE_SHARE = 0.8; // of prompt starts above which late jobs may use what is spare
-    static final int LOOK_AHEAD = 12; // held jobs that may find no worker in a release: bounds its cost
-    // the same for one kind of work; seats looked at
-    static final int LANE_AHEAD = 3;
-    static final int SCAN = 16;
-    static final int COLD_LOOKS = 16; // at a seat that is still cold, while it warms
-    static final double PRIORITY_STEPS = 20; // halvings of an estimate that a step of priority is worth: 2 s
-    static final double RECHECK_MS = 80; // look again at held jobs while no event brings room
-    // A change counts as told 6 s after discovery had it: some calls of up to 1 s each have to fit.
+    // Slots that a worker is assumed to have while nothing is known of it: DAS(2).
+    static final double DEFAULT_SLOT_LIMIT = 2;
+    // A held job's estimate counts half as much after each period, without steps.
+    static final double AGING_HALF_LIFE_MS = 100;
+    // In mean run times: after that the jobs behind an observation have ended.
+    static final double EVIDENCE_LIFETIME_RUNS = 1.5;
+    // Probes sent for one held job at a time: more cost fees, fewer find no free slot.
+    static final int PROBES_PER_ROUND = 3;
+    // After so many rounds a job is assigned by what is known.
+    static final int MAX_PROBE_ROUNDS = 2;
+    // Weight of a new report in the estimated number of slots of a worker kind.
+    static final double SLOT_GAIN = 0.1;
+    // Workers drawn at random for each probe; the one with the lowest placement cost is probed.
+    static final int CANDIDATES_PER_PROBE = 6;
+    // Times to the job's target time that a full fee is worth.
+    static final double FEE_WEIGHT = 3;
+    // Parts of a cold worker's budget that are planned, by amount of work and by number of jobs.
+    static final double COLD_WORK_SHARE = 0.4;
+    static final double COLD_JOB_SHARE = 0.6;
+    // An ejection doubles with each recent failure of the worker, up to the maximum.
+    static final double EJECTION_BASE_MS = 500;
+    static final double MAX_EJECTION_MS = 8_000;
+    // Above this part of the shared workers the cause is not the workers, and ejections are ignored.
+    static final double MAX_EJECTED_SHARE = 0.5;
+    // Weight of a new attempt in the share of attempts that start promptly.
+    static final double PROMPT_GAIN = 0.1;
+    // With fewer prompt starts, workers are taken for full unless there is evidence of a free slot.
+    static final double MIN_PROMPT_SHARE_TO_COMMIT = 0.5;
+    // Puts late jobs without worth behind all jobs that can still be in time.
+    static final double WORTHLESS_KEY_PENALTY = 1e9;
+    // Halvings of an estimate that a factor 2 of worth counts for, under overload or once a job is late.
+    static final double KEY_STEPS_PER_WORTH_DOUBLING = 10;
+    // How long overload lasts after a held job became late: longer than the gaps between such jobs.
+    static final double OVERLOAD_MEMORY_MS = 2_000;
+    // With fewer prompt starts there is no spare capacity for late jobs without worth.
+    static final double MIN_PROMPT_SHARE_FOR_LATE_JOBS = 0.8;
+    // Held jobs that may find no worker in one pass, in all or for each kind of work: bounds the cost of a pass.
+    static final int MAX_UNPLACED_JOBS = 12;
+    static final int MAX_UNPLACED_JOBS_PER_QUEUE = 3;
+    // Workers with known slots that are looked at for one job.
+    static final int MAX_DEDICATED_WORKERS_EXAMINED = 16;
+    // How often a cold worker with known slots is looked at again while it warms up.
+    static final int COLD_RECHECKS = 16;
+    // Halvings of an estimate that a step of priority counts for: 2 s of age.
+    static final double KEY_STEPS_PER_PRIORITY = 20;
+    // Held jobs are tried again at this interval when no event frees a slot.
+    static final double RECHECK_INTERVAL_MS = 80;
+    // A change counts as announced 6 s after discovery had it, so several calls of up to 1 s each must fit.
     static final double LIST_RETRY_MS = 500;
-    static final double LIST_RETRY_MAX_MS = 1_300;
-    static final double LIST_EACH_MS = 12;
-    static final double LIST_AGAIN_MS = 50; // at the least, between list calls that fail: whatever is set
-    static final double TIMER_SLACK_MS = 0.01; // a host may round a timer down: waiting on stalled them all
-
-    private static final Comparator<Request> ORDER =
-            Comparator.<Request>comparingDouble(r -> r.key).thenComparingLong(r -> r.order);
-
-    private Settings set;
-    private final Actions out;
+    static final double MAX_LIST_RETRY_MS = 1_300;
+    // Time that the list service takes for each dispatcher's call when calls queue up.
+    static final double LIST_CALL_MS = 12;
+    // Least delay between failing list calls, whatever the settings allow.
+    static final double MIN_LIST_RETRY_MS = 50;
+    // A host may round a timer down: without tolerance, waiting for the exact time stalled all timers.
+    static final double TIMER_SLACK_MS = 0.01;
+
+    private static final Comparator<Request> BY_SORT_KEY = Comparator.<Request>comparingDouble(
+                    request -> request.sortKey)
+            .thenComparingLong(request -> request.sequence);
+
+    private Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final Map<String, Worker> known = new LinkedHashMap<>();
+    private final Map<String, Worker> workersById = new LinkedHashMap<>();
+    // Jobs by id, until the client needs no answer and no attempt is open.
     private final Map<String, Request> requests = new HashMap<>();
-    private final List<Worker> plain = new ArrayList<>(); // those serving whose places are not known
-    private final Set<Worker> gone = new LinkedHashSet<>(); // known still, until nothing of them is under way
-    private final Map<Integer, Lane> lanes = new LinkedHashMap<>();
-    private final Set<Lane> waiting = new LinkedHashSet<>(); // lanes with held jobs, and some that had them
-    private final Set<Request> spare = new LinkedHashSet<>(); // held, and can no longer be in time
+    // Serving workers whose number of slots is not known.
+    private final List<Worker> sharedWorkers = new ArrayList<>();
+    // Deleted workers, kept until none of their attempts or probes is open.
+    private final Set<Worker> removedWorkers = new LinkedHashSet<>();
+    private final Map<Integer, WorkQueue> queues = new LinkedHashMap<>();
+    // Queues with held jobs, and some that had them.
+    private final Set<WorkQueue> activeQueues = new LinkedHashSet<>();
+    // Held jobs that are late and worth nothing: they may use spare capacity only.
+    private final Set<Request> worthlessRequests = new LinkedHashSet<>();
     private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
-    private final Kind[] kinds;
-    private final PriorityQueue<Double> wakes = new PriorityQueue<>();
-    private final double[] prompt;
-    private final double[] waits;
-    private final double[] credit;
-    private final double[] creditAt;
-    private final double[] hints = new double[31];
-    private double[] fullPatience; // by class, grown as classes come
-    private final double topImportance;
-    private final boolean pulls;
-    private int hintCount;
-    private int ejected;
-    private int probesOut;
-    private int moot;
-    private long order;
-    private boolean recheckSet;
-    private boolean mixed;
-    private boolean sweeps;
+            new PriorityQueue<>(Comparator.comparingDouble(Task::dueAt).thenComparingLong(Task::sequence));
+    private final WorkerKind[] workerKinds;
+    // Times of the timers that were requested from the host and are not yet due.
+    private final PriorityQueue<Double> requestedTimers = new PriorityQueue<>();
+    // By zone: usual delay from sending a job to its start.
+    private final double[] startDelayMs;
+    // By zone: share of attempts that did not start promptly.
+    private final double[] lateStartShare;
+    // By tenant: jobs that it may send within its quota, and when that was last updated.
+    private final double[] tenantCredit;
+    private final double[] tenantCreditAt;
+    private final double[] costHints = new double[31];
+    // By class, grown as classes come: the longest patience seen.
+    private double[] maxPatienceMs;
+    private final double maxImportance;
+    private final boolean probesEnabled;
+    private int costHintCount;
+    private int ejectedCount;
+    private int openProbes;
+    private int forgottenSincePurge;
+    // Orders arrivals, tasks, assignments and freed workers.
+    private long nextSequence;
+    private boolean recheckScheduled;
+    private boolean hasDedicatedWorkers;
+    private boolean rechecking;
     private double now;
-    private double meanRun = 1000;
+    private double meanRunMs = 1000;
     private double promptShare = 1;
-    private double meanCost;
-    private double listAskedAt = Double.NEGATIVE_INFINITY;
-    private double pressedUntil = Double.NEGATIVE_INFINITY;
+    private double meanCostMs;
+    private double listRequestedAt = Double.NEGATIVE_INFINITY;
+    private double overloadedUntil = Double.NEGATIVE_INFINITY;
 
-    /** A dispatcher with nothing taken and no list yet. */
+    /** Creates a dispatcher without jobs or workers; {@code seed} determines all its random choices. */
     public Logic(Settings settings, long seed, Actions actions) {
-        set = settings;
-        out = actions;
+        this.settings = settings;
+        this.actions = actions;
         random = new SplittableRandom(seed);
-        Arrays.setAll(kinds = new Kind[settings.kinds()], k -> new Kind());
-        waits = new double[settings.zones()];
-        Arrays.setAll(prompt = new double[settings.zones()], z -> z == settings.zone() ? 20 : 60);
-        pulls = settings.reports() == Reports.PULL && settings.limits().probes();
-        topImportance = settings.classes().stream()
+        Arrays.setAll(workerKinds = new WorkerKind[settings.kinds()], k -> new WorkerKind());
+        lateStartShare = new double[settings.zones()];
+        Arrays.setAll(startDelayMs = new double[settings.zones()], z -> z == settings.zone() ? 20 : 60);
+        probesEnabled = settings.reports() == Reports.PULL && settings.limits().probes();
+        maxImportance = settings.classes().stream()
                 .mapToDouble(JobClass::importance)
                 .max()
                 .orElse(1);
-        Arrays.fill(credit = new double[settings.tenants().size()], 3);
-        creditAt = new double[credit.length];
-        fullPatience = new double[settings.classes().size()];
+        Arrays.fill(tenantCredit = new double[settings.tenants().size()], 3);
+        tenantCreditAt = new double[tenantCredit.length];
+        maxPatienceMs = new double[settings.classes().size()];
     }
 
-    /** What the workers of one kind have in common: speed over the yardstick and slots, both learned. */
-    private static final class Kind {
-        double cost = 4000;
-        double run = 4000;
-        double slots = THETA;
-        double proven = 1;
+    /** Learned properties of all workers of one kind: speed relative to the cost estimates, and slots. */
+    private static final class WorkerKind {
+        double costSum = 4000;
+        double runSum = 4000;
+        double slots = DEFAULT_SLOT_LIMIT;
+        double provenSlots = 1;
 
         double speed() {
-            return cost / run;
+            return costSum / runSum;
         }
     }
 
+    /** A known worker with the load and evidence observed for it; counts cover this dispatcher's jobs only. */
     private static final class Worker {
         final String id;
         int zone;
         int kind;
         int cell;
         int failures;
-        int jobs;
-        int index = -1;
+        int openAttempts;
+        int sharedIndex = -1; // in sharedWorkers, or -1
         boolean probing;
         Phase phase = Phase.SERVING;
-        double cameUp;
-        double own;
-        double running;
-        double room;
-        double seenAt = Double.NEGATIVE_INFINITY;
-        double reportAt = seenAt;
-        double lastSent = seenAt;
-        double links;
+        double processStartedAt;
+        double ownSlots;
+        double runningSlots;
+        double freeSlots;
+        double evidenceAt = Double.NEGATIVE_INFINITY;
+        double lastReportAt = evidenceAt;
+        double lastSentAt = evidenceAt;
+        double openConnections; // estimated
         double idleSince;
-        double cost;
-        double run;
-        double badUntil;
+        double costSum;
+        double runSum;
+        double ejectedUntil;
         double coldSince;
-        double coldDraw;
-        long turn;
-        long freeAs;
-        BitSet runs;
-        int places;
+        double coldJitter; // 0 to 1
+        long tieBreak; // among equally good workers the lowest is taken
+        long freeKey; // in the queues' freeWorkers, 0 while not there
+        BitSet workKinds;
+        int knownSlots; // 0 where not known
 
         Worker(String id) {
             this.id = id;
         }
     }
 
+    /** An attempt of a job; {@code ending} is null while it is open. */
     private static final class Attempt {
         final Worker worker;
         final double sentAt;
-        final double need;
+        final double slots;
         double startedAt = Double.NaN;
-        boolean late;
+        boolean late; // did not start promptly
         Ending ending;
 
-        Attempt(Worker to, double at, double slots) {
-            worker = to;
-            sentAt = at;
-            need = slots;
+        Attempt(Worker worker, double sentAt, double slots) {
+            this.worker = worker;
+            this.sentAt = sentAt;
+            this.slots = slots;
         }
     }
 
+    /** A job taken from a client and what became of it; held jobs wait for a worker in a queue. */
     private static final class Request {
         Job job;
-        JobClass cls;
+        JobClass jobClass;
         final List<Attempt> attempts = new ArrayList<>(2);
-        double cost;
+        double costMs;
         double deadline;
-        double aim;
-        double key;
+        double aimAt; // an answer after this time is late
+        double sortKey; // the lowest is assigned first
         double worth;
-        long order;
-        int attemptsOut;
-        int rounds;
+        long sequence;
+        int openAttempts;
+        int probeRounds;
         boolean done;
-        boolean isHeld;
-        boolean dead;
+        boolean held;
+        boolean missesAim; // found to be too late for aimAt
     }
 
-    /** Held jobs of one kind of work, and the seats (workers with known places) last seen free for it. */
-    private static final class Lane {
-        final TreeSet<Request> held = new TreeSet<>(ORDER);
-        final TreeMap<Long, Worker> free = new TreeMap<>(Comparator.reverseOrder());
-        int passed;
+    /** The held jobs of one kind of work, and the workers with known slots that have a free one for it. */
+    private static final class WorkQueue {
+        final TreeSet<Request> held = new TreeSet<>(BY_SORT_KEY);
+        final TreeMap<Long, Worker> freeWorkers = new TreeMap<>(Comparator.reverseOrder());
+        int unplaced;
     }
 
-    private record Task(double at, long order, Runnable what, Request about) {}
+    /** An action to run at a time, unless its request is done by then; {@code request} may be null. */
+    private record Task(double dueAt, long sequence, Runnable action, Request request) {}
 
     @Override
-    public void workers(double t, ListMode mode, List<WorkerEntry> entries) {
-        now = t;
+    public void workers(double eventTime, ListMode mode, List<WorkerEntry> entries) {
+        now = eventTime;
         if (mode == ListMode.FAILED) {
-            // No herd on the list service: first calls are spread, later ones back off, more if they queued.
-            // What is pushed counts as told while nobody listens: a drain leaves no more than its own time.
-            Rules rule = set.rules();
-            double each = now - listAskedAt > LIST_RETRY_MS ? LIST_EACH_MS * set.balancers() : 0;
-            double retry = Math.max(LIST_RETRY_MS, Math.min(LIST_RETRY_MAX_MS, each));
-            double most = set.listOnRequest() ? rule.mustAskInMs() : rule.stopSendingWithinMs();
-            double backoff = Math.min(retry, most / 4);
-            at(now + Math.max(LIST_AGAIN_MS, backoff) * (0.5 + random.nextDouble()), this::askForList, null);
+            // Calls of all dispatchers at once would overload the list service: retries are spread, later ones back
+            // off.
+            // Pushed changes count as announced even while the list is unavailable, so a drain allows only its own
+            // time.
+            Rules rules = settings.rules();
+            double queueMs = now - listRequestedAt > LIST_RETRY_MS ? LIST_CALL_MS * settings.balancers() : 0;
+            double retryMs = Math.max(LIST_RETRY_MS, Math.min(MAX_LIST_RETRY_MS, queueMs));
+            double maxDelayMs = settings.listOnRequest() ? rules.mustAskInMs() : rules.stopSendingWithinMs();
+            double backoffMs = Math.min(retryMs, maxDelayMs / 4);
+            schedule(
+                    now + Math.max(MIN_LIST_RETRY_MS, backoffMs) * (0.5 + random.nextDouble()),
+                    this::requestList,
+                    null);
         } else {
-            boolean first = mode == ListMode.SAVED && set.listOnRequest();
-            if (first) at(now + random.nextDouble() * set.rules().mustAskInMs() / 3, this::askForList, null);
-            if (mode != ListMode.INCREMENTAL) known.values().forEach(w -> w.phase = Phase.DELETED);
-            entries.forEach(this::list);
+            boolean firstCall = mode == ListMode.SAVED && settings.listOnRequest();
+            if (firstCall)
+                schedule(now + random.nextDouble() * settings.rules().mustAskInMs() / 3, this::requestList, null);
+            if (mode != ListMode.INCREMENTAL) workersById.values().forEach(worker -> worker.phase = Phase.DELETED);
+            entries.forEach(this::updateWorker);
             if (mode == ListMode.INCREMENTAL) {
-                entries.forEach(e -> place(known.get(e.id())));
+                entries.forEach(e -> updateSharedWorkers(workersById.get(e.id())));
             } else {
-                plain.clear();
-                known.values().forEach(w -> {
-                    w.index = -1;
-                    place(w);
+                sharedWorkers.clear();
+                workersById.values().forEach(worker -> {
+                    worker.sharedIndex = -1;
+                    updateSharedWorkers(worker);
                 });
             }
-            gone.removeIf(this::forgotten);
-            release();
+            removedWorkers.removeIf(this::forgetIfIdle);
+            assignHeldJobs();
         }
-        settle();
-    }
-
-    /** Puts a worker into the list of those serving or takes it out; no other worker is looked at. */
-    private void place(Worker w) {
-        boolean serves = w.phase == Phase.SERVING && w.places == 0;
-        if (serves && w.index < 0 && plain.add(w)) w.index = plain.size() - 1;
-        if (!serves && w.index >= 0) {
-            Worker last = plain.remove(plain.size() - 1);
-            if (last != w) plain.set(last.index = w.index, last);
-            w.index = -1;
+        runDueTasks();
+    }
+
+    /** Adds one worker to the shared workers or removes it, in constant time; deleted ones are noted for removal. */
+    private void updateSharedWorkers(Worker worker) {
+        boolean shared = worker.phase == Phase.SERVING && worker.knownSlots == 0;
+        if (shared && worker.sharedIndex < 0 && sharedWorkers.add(worker))
+            worker.sharedIndex = sharedWorkers.size() - 1;
+        if (!shared && worker.sharedIndex >= 0) {
+            Worker last = sharedWorkers.remove(sharedWorkers.size() - 1);
+            if (last != worker) sharedWorkers.set(last.sharedIndex = worker.sharedIndex, last);
+            worker.sharedIndex = -1;
         }
-        if (w.phase == Phase.DELETED) gone.add(w);
-    }
-
-    private boolean forgotten(Worker w) {
-        boolean over = w.own == 0 && !w.probing;
-        if (over && w.phase == Phase.DELETED) known.remove(w.id, w);
-        return over || w.phase != Phase.DELETED;
-    }
-
-    private void askForList() {
-        listAskedAt = now;
-        out.subscribe();
-    }
-
-    private void list(WorkerEntry e) {
-        Worker w = known.computeIfAbsent(e.id(), Worker::new);
-        if (w.turn == 0) w.turn = 1 + random.nextInt(1 << 20);
-        w.phase = e.phase();
-        w.zone = Math.min(Math.max(e.zone(), 0), prompt.length - 1);
-        w.kind = Math.min(Math.max(e.kind(), 0), kinds.length - 1);
-        w.cell = e.cell();
-        mixed |= e.places() > 0;
-        if (w.runs != null) occupy(w);
-        w.runs = e.runs();
-        w.places = e.places();
-        vacate(w);
-        if (e.cameUpMs() > w.cameUp) {
-            w.cameUp = e.cameUpMs();
-            w.coldSince = now;
-            w.coldDraw = random.nextDouble();
+        if (worker.phase == Phase.DELETED) removedWorkers.add(worker);
+    }
+
+    /** Forgets a deleted worker without open work; true if it need not be checked again. */
+    private boolean forgetIfIdle(Worker worker) {
+        boolean idle = worker.ownSlots == 0 && !worker.probing;
+        if (idle && worker.phase == Phase.DELETED) workersById.remove(worker.id, worker);
+        return idle || worker.phase != Phase.DELETED;
+    }
+
+    private void requestList() {
+        listRequestedAt = now;
+        actions.subscribe();
+    }
+
+    private void updateWorker(WorkerEntry entry) {
+        Worker worker = workersById.computeIfAbsent(entry.id(), Worker::new);
+        if (worker.tieBreak == 0) worker.tieBreak = 1 + random.nextInt(1 << 20);
+        worker.phase = entry.phase();
+        worker.zone = Math.min(Math.max(entry.zone(), 0), startDelayMs.length - 1);
+        worker.kind = Math.min(Math.max(entry.kind(), 0), workerKinds.length - 1);
+        worker.cell = entry.cell();
+        hasDedicatedWorkers |= entry.places() > 0;
+        if (worker.workKinds != null) markBusy(worker);
+        worker.workKinds = entry.runs();
+        worker.knownSlots = entry.places();
+        markFree(worker);
+        if (entry.cameUpMs() > worker.processStartedAt) {
+            worker.processStartedAt = entry.cameUpMs();
+            worker.coldSince = now;
+            worker.coldJitter = random.nextDouble();
         }
     }
 
     @Override
-    public void arrived(double t, Job job) {
-        now = t;
-        JobClass c = set.classes().get(job.cls());
-        double cost = Double.isNaN(job.costMs()) ? medianHint() : Math.max(1, job.costMs());
-        if (!Double.isNaN(job.costMs())) hints[hintCount++ % hints.length] = cost;
-        meanCost += (cost - meanCost) * (meanCost == 0 ? 1 : 0.05);
-        // A later try comes with less patience than first tries have: its aim runs since the first.
-        if (job.cls() >= fullPatience.length) fullPatience = Arrays.copyOf(fullPatience, job.cls() + 1);
-        fullPatience[job.cls()] = Math.max(fullPatience[job.cls()], job.patienceMs());
-        boolean later = job.patienceMs() < fullPatience[job.cls()] - 1;
-        double age = later ? Math.max(0, c.deadlineMs() - job.patienceMs()) : 0;
-        Request r = new Request();
-        r.job = job;
-        r.cls = c;
-        r.cost = cost;
-        r.deadline = now + job.patienceMs();
-        r.aim = now - age + Math.min(c.aimMs() + c.aimStretch() * cost, c.deadlineMs());
-        if (!Double.isNaN(job.aimMs())) r.aim = now + job.aimMs();
-        r.worth = c.importance() * (inShare(job.tenant()) ? 1 : set.overShareWorth()) / topImportance;
-        r.order = order++;
-        requests.put(job.id(), r);
-        at(
-                r.deadline - set.leastLeftMs(),
+    public void arrived(double eventTime, Job job) {
+        now = eventTime;
+        JobClass jobClass = settings.classes().get(job.cls());
+        double costMs = Double.isNaN(job.costMs()) ? medianCostHint() : Math.max(1, job.costMs());
+        if (!Double.isNaN(job.costMs())) costHints[costHintCount++ % costHints.length] = costMs;
+        meanCostMs += (costMs - meanCostMs) * (meanCostMs == 0 ? 1 : 0.05);
+        // A client's repeat has less patience left than a first try: its target time counts from the first try.
+        if (job.cls() >= maxPatienceMs.length) maxPatienceMs = Arrays.copyOf(maxPatienceMs, job.cls() + 1);
+        maxPatienceMs[job.cls()] = Math.max(maxPatienceMs[job.cls()], job.patienceMs());
+        boolean laterTry = job.patienceMs() < maxPatienceMs[job.cls()] - 1;
+        double ageMs = laterTry ? Math.max(0, jobClass.deadlineMs() - job.patienceMs()) : 0;
+        Request request = new Request();
+        request.job = job;
+        request.jobClass = jobClass;
+        request.costMs = costMs;
+        request.deadline = now + job.patienceMs();
+        request.aimAt =
+                now - ageMs + Math.min(jobClass.aimMs() + jobClass.aimStretch() * costMs, jobClass.deadlineMs());
+        if (!Double.isNaN(job.aimMs())) request.aimAt = now + job.aimMs();
+        request.worth = jobClass.importance()
+                * (takeTenantCredit(job.tenant()) ? 1 : settings.overShareWorth())
+                / maxImportance;
+        request.sequence = nextSequence++;
+        requests.put(job.id(), request);
+        schedule(
+                request.deadline - settings.leastLeftMs(),
                 () -> {
-                    if (r.attemptsOut == 0) finish(r);
+                    if (request.openAttempts == 0) finish(request);
                 },
-                r);
-        at(r.deadline - 2 * set.granularityMs(), () -> finish(r), r);
-        hold(r);
-        release();
-        settle();
-    }
-
-    /** A tenant's quota is a rate over all dispatchers; this one keeps to its even part of it. */
-    private boolean inShare(int tenant) {
-        if (tenant < 0 || tenant >= credit.length) return true;
-        double rate = set.tenants().get(tenant).quotaPerS() / 1000 / set.balancers();
-        credit[tenant] = Math.min(credit[tenant] + (now - creditAt[tenant]) * rate, Math.max(3, rate * 2000));
-        creditAt[tenant] = now;
-        return credit[tenant] >= 1 && credit[tenant]-- >= 1;
-    }
-
-    private double medianHint() {
-        double[] recent = Arrays.copyOf(hints, Math.min(hintCount, hints.length));
+                request);
+        schedule(request.deadline - 2 * settings.granularityMs(), () -> finish(request), request);
+        hold(request);
+        assignHeldJobs();
+        runDueTasks();
+    }
+
+    /** Takes a credit if the tenant is within its quota, of which each dispatcher grants an equal part. */
+    private boolean takeTenantCredit(int tenant) {
+        if (tenant < 0 || tenant >= tenantCredit.length) return true;
+        double ratePerMs = settings.tenants().get(tenant).quotaPerS() / 1000 / settings.balancers();
+        tenantCredit[tenant] = Math.min(
+                tenantCredit[tenant] + (now - tenantCreditAt[tenant]) * ratePerMs, Math.max(3, ratePerMs * 2000));
+        tenantCreditAt[tenant] = now;
+        return tenantCredit[tenant] >= 1 && tenantCredit[tenant]-- >= 1;
+    }
+
+    /** The median of recent cost hints, or the mean run time while there are none. */
+    private double medianCostHint() {
+        double[] recent = Arrays.copyOf(costHints, Math.min(costHintCount, costHints.length));
         Arrays.sort(recent);
-        return hintCount == 0 ? meanRun : recent[recent.length / 2];
+        return costHintCount == 0 ? meanRunMs : recent[recent.length / 2];
     }
 
     @Override
-    public void started(double t, String job, int attempt, String worker) {
-        now = t;
-        Request r = requests.get(job);
-        Attempt a = r == null || attempt >= r.attempts.size() ? null : r.attempts.get(attempt);
-        if (a != null && a.ending == null && Double.isNaN(a.startedAt)) {
-            Worker w = a.worker;
-            Kind k = kinds[w.kind];
-            a.startedAt = now;
-            w.running += a.need;
-            double delay = now - a.sentAt;
-            if (!a.late) startSeen(w, 1);
-            if (delay <= lateAfter(w)) {
-                prompt[w.zone] += (delay - prompt[w.zone]) * (delay < prompt[w.zone] ? 0.3 : 0.05);
-                k.proven = Math.max(k.proven, w.running);
-                k.slots = Math.max(k.slots, k.proven);
-                see(w, Math.max(roomNow(w), w.own < k.slots ? 1 : 0));
+    public void started(double eventTime, String jobId, int attemptNumber, String workerId) {
+        now = eventTime;
+        Request request = requests.get(jobId);
+        Attempt attempt = request == null || attemptNumber >= request.attempts.size()
+                ? null
+                : request.attempts.get(attemptNumber);
+        if (attempt != null && attempt.ending == null && Double.isNaN(attempt.startedAt)) {
+            Worker worker = attempt.worker;
+            WorkerKind kind = workerKinds[worker.kind];
+            attempt.startedAt = now;
+            worker.runningSlots += attempt.slots;
+            double delayMs = now - attempt.sentAt;
+            if (!attempt.late) recordStart(worker, 1);
+            if (delayMs <= lateStartAfterMs(worker)) {
+                startDelayMs[worker.zone] +=
+                        (delayMs - startDelayMs[worker.zone]) * (delayMs < startDelayMs[worker.zone] ? 0.3 : 0.05);
+                kind.provenSlots = Math.max(kind.provenSlots, worker.runningSlots);
+                kind.slots = Math.max(kind.slots, kind.provenSlots);
+                recordEvidence(worker, Math.max(estimatedFreeSlots(worker), worker.ownSlots < kind.slots ? 1 : 0));
             } else {
-                see(w, Math.min(0, w.running - w.own));
+                recordEvidence(worker, Math.min(0, worker.runningSlots - worker.ownSlots));
             }
-            release();
+            assignHeldJobs();
         }
-        settle();
+        runDueTasks();
     }
 
     @Override
-    public void progressed(double t, String job, int attempt, String worker, double share) {}
+    public void progressed(double eventTime, String jobId, int attemptNumber, String workerId, double share) {}
 
     @Override
-    public void streaming(double t, String job, int attempt, String worker) {}
+    public void streaming(double eventTime, String jobId, int attemptNumber, String workerId) {}
 
     @Override
-    public void ended(double t, Outcome o) {
-        now = t;
-        Request r = requests.get(o.job());
-        Attempt a = r == null || o.attempt() >= r.attempts.size() ? null : r.attempts.get(o.attempt());
-        if (a == null || a.ending != null) return;
-        Worker w = a.worker;
-        a.ending = o.ending();
-        r.attemptsOut--;
-        w.own = Math.max(0, w.own - a.need);
-        w.jobs--;
-        w.idleSince = now;
-        boolean ran = !Double.isNaN(a.startedAt);
-        if (ran) w.running = Math.max(0, w.running - a.need);
-        w.room += a.need;
-        // It did not wait for its slot, so nobody was waiting there: the slot that it leaves is free.
-        if (ran && !a.late) see(w, Math.max(w.room, w.own < kinds[w.kind].slots ? 1 : 0));
-        vacate(w);
-        judge(r, a, w, ran);
-        if (o.report() != null) report(w, o.report());
-        if (o.over() || r.done) forget(r);
-        else if (r.attemptsOut == 0) retry(r);
-        release();
-        settle();
+    public void ended(double eventTime, Outcome outcome) {
+        now = eventTime;
+        Request request = requests.get(outcome.job());
+        Attempt attempt = request == null || outcome.attempt() >= request.attempts.size()
+                ? null
+                : request.attempts.get(outcome.attempt());
+        if (attempt == null || attempt.ending != null) return;
+        Worker worker = attempt.worker;
+        attempt.ending = outcome.ending();
+        request.openAttempts--;
+        worker.ownSlots = Math.max(0, worker.ownSlots - attempt.slots);
+        worker.openAttempts--;
+        worker.idleSince = now;
+        boolean started = !Double.isNaN(attempt.startedAt);
+        if (started) worker.runningSlots = Math.max(0, worker.runningSlots - attempt.slots);
+        worker.freeSlots += attempt.slots;
+        // The attempt started promptly, so no job was queued at the worker: the slot that it leaves is free.
+        if (started && !attempt.late)
+            recordEvidence(
+                    worker, Math.max(worker.freeSlots, worker.ownSlots < workerKinds[worker.kind].slots ? 1 : 0));
+        markFree(worker);
+        recordEnding(request, attempt, worker, started);
+        if (outcome.report() != null) applyReport(worker, outcome.report());
+        if (outcome.over() || request.done) forget(request);
+        else if (request.openAttempts == 0) retryOrFinish(request);
+        assignHeldJobs();
+        runDueTasks();
     }
 
     @Override
-    public void clientGone(double t, String job) {
-        now = t;
-        if (requests.containsKey(job)) forget(requests.get(job));
-        settle();
+    public void clientGone(double eventTime, String jobId) {
+        now = eventTime;
+        if (requests.containsKey(jobId)) forget(requests.get(jobId));
+        runDueTasks();
     }
 
     @Override
-    public void timer(double t, long token) {
-        now = t;
-        while (!wakes.isEmpty() && wakes.peek() <= now + TIMER_SLACK_MS) wakes.poll();
-        settle();
+    public void timer(double eventTime, long token) {
+        now = eventTime;
+        while (!requestedTimers.isEmpty() && requestedTimers.peek() <= now + TIMER_SLACK_MS) requestedTimers.poll();
+        runDueTasks();
     }
 
     @Override
-    public void probed(double t, String worker, Ending ending, double waitMs, LoadReport report) {
-        now = t;
-        Worker w = known.get(worker);
-        if (w != null && w.probing) {
-            w.probing = false;
-            probesOut--;
-            if (ending != Ending.OK && ending != Ending.MOOT) see(w, Math.min(w.room, -THETA));
-            else if (report != null) report(w, report);
-            release();
+    public void probed(double eventTime, String workerId, Ending ending, double waitMs, LoadReport report) {
+        now = eventTime;
+        Worker worker = workersById.get(workerId);
+        if (worker != null && worker.probing) {
+            worker.probing = false;
+            openProbes--;
+            if (ending != Ending.OK && ending != Ending.MOOT)
+                recordEvidence(worker, Math.min(worker.freeSlots, -DEFAULT_SLOT_LIMIT));
+            else if (report != null) applyReport(worker, report);
+            assignHeldJobs();
         }
-        settle();
+        runDueTasks();
     }
 
     @Override
-    public void peerMessage(double t, int from, byte[] bytes) {}
-
-    // ---- ordinary path: hold, bar, release ----
-
-    private void hold(Request r) {
-        r.isHeld = true;
-        Attempt first = mayHaveRun(r);
-        if (first != null && r.cls.effect() == Effect.GUARDED) {
-            // A repeat is harmless until then: what found no worker by that time is given up at once.
-            at(
-                    first.sentAt + r.cls.windowMs(),
+    public void peerMessage(double eventTime, int from, byte[] bytes) {}
+
+    // ---- Ordinary path: hold jobs and assign them to workers with free slots ----
+
+    /** Computes a job's sort key and puts it into its queue. */
+    private void hold(Request request) {
+        request.held = true;
+        Attempt first = firstThatMayHaveRun(request);
+        if (first != null && request.jobClass.effect() == Effect.GUARDED) {
+            // Repeats are harmless only within the window: a job that is still held at its end is finished.
+            schedule(
+                    first.sentAt + request.jobClass.windowMs(),
                     () -> {
-                        if (r.isHeld) finish(r);
+                        if (request.held) finish(request);
                     },
-                    r);
+                    request);
         }
-        // While nobody gives hints, guesses at jobs differ only by when they were made.
-        boolean blind = hintCount == 0 && Double.isNaN(r.job.costMs());
-        r.key = (blind ? 0 : Math.log(r.cost) / Math.log(2)) + now / AGING_MS;
-        if (!r.attempts.isEmpty()) r.key = r.attempts.get(0).sentAt / AGING_MS;
-        // Exception, a held job ran out of time lately: something must give, what is worth least first.
-        if (now < pressedUntil) r.key -= GIVE_STEPS * Math.log(Math.max(r.worth, 1e-3)) / Math.log(2);
-        r.key -= PRIORITY_STEPS * r.job.priority();
-        if (r.dead) r.key += lateSteps(r);
-        keep(r);
+        // Without any hints, estimates would differ only by the time at which they were made.
+        boolean noHints = costHintCount == 0 && Double.isNaN(request.job.costMs());
+        request.sortKey = (noHints ? 0 : Math.log(request.costMs) / Math.log(2)) + now / AGING_HALF_LIFE_MS;
+        if (!request.attempts.isEmpty()) request.sortKey = request.attempts.get(0).sentAt / AGING_HALF_LIFE_MS;
+        // Under overload, jobs of less worth come later.
+        if (now < overloadedUntil)
+            request.sortKey -= KEY_STEPS_PER_WORTH_DOUBLING * Math.log(Math.max(request.worth, 1e-3)) / Math.log(2);
+        request.sortKey -= KEY_STEPS_PER_PRIORITY * request.job.priority();
+        if (request.missesAim) request.sortKey += lateKeyPenalty(request);
+        enqueue(request);
     }
 
-    private void keep(Request r) {
-        Lane l = lane(r.job.work());
-        l.held.add(r);
-        waiting.add(l);
-        if (worthless(r)) spare.add(r);
+    private void enqueue(Request request) {
+        WorkQueue queue = queueFor(request.job.work());
+        queue.held.add(request);
+        activeQueues.add(queue);
+        if (isWorthless(request)) worthlessRequests.add(request);
     }
 
-    /** What can no longer be in time comes later by as much as that takes off its worth, or last. */
-    private static double lateSteps(Request r) {
-        double kept = Math.min(1, r.cls.lateWorth());
-        return worthless(r) ? LATE_STEPS : -GIVE_STEPS * Math.log(kept) / Math.log(2);
+    /** How far a late job moves back: by the worth that it lost, or behind all others if it has none left. */
+    private static double lateKeyPenalty(Request request) {
+        double kept = Math.min(1, request.jobClass.lateWorth());
+        return isWorthless(request)
+                ? WORTHLESS_KEY_PENALTY
+                : -KEY_STEPS_PER_WORTH_DOUBLING * Math.log(kept) / Math.log(2);
     }
 
-    private static boolean worthless(Request r) {
-        return r.dead && r.cls.lateWorth() == 0;
+    private static boolean isWorthless(Request request) {
+        return request.missesAim && request.jobClass.lateWorth() == 0;
     }
 
-    int held() {
-        return waiting.stream().mapToInt(l -> l.held.size()).sum();
+    /** The number of held jobs. */
+    int heldCount() {
+        return activeQueues.stream().mapToInt(queue -> queue.held.size()).sum();
     }
 
-    private Lane lane(int work) {
-        return lanes.computeIfAbsent(work, k -> new Lane());
+    private WorkQueue queueFor(int work) {
+        return queues.computeIfAbsent(work, k -> new WorkQueue());
     }
 
-    /** A seat with room is free for each kind of its work, last come first; one that is gone is forgotten. */
-    private void vacate(Worker w) {
-        if (w.places == 0) return;
-        occupy(w);
-        if (w.phase == Phase.SERVING && w.own < w.places) {
-            w.freeAs = ++order;
-            for (int k = w.runs.nextSetBit(0); k >= 0; k = w.runs.nextSetBit(k + 1)) {
-                lane(k).free.put(w.freeAs, w);
+    /** Lists a serving worker that has a free known slot for each kind of its work, the one freed last first. */
+    private void markFree(Worker worker) {
+        if (worker.knownSlots == 0) return;
+        markBusy(worker);
+        if (worker.phase == Phase.SERVING && worker.ownSlots < worker.knownSlots) {
+            worker.freeKey = ++nextSequence;
+            for (int k = worker.workKinds.nextSetBit(0); k >= 0; k = worker.workKinds.nextSetBit(k + 1)) {
+                queueFor(k).freeWorkers.put(worker.freeKey, worker);
             }
         }
     }
 
-    private void occupy(Worker w) {
-        for (int k = w.freeAs == 0 ? -1 : w.runs.nextSetBit(0); k >= 0; k = w.runs.nextSetBit(k + 1)) {
-            lane(k).free.remove(w.freeAs);
+    /** Removes a worker from the free workers of all its kinds of work. */
+    private void markBusy(Worker worker) {
+        for (int k = worker.freeKey == 0 ? -1 : worker.workKinds.nextSetBit(0);
+                k >= 0;
+                k = worker.workKinds.nextSetBit(k + 1)) {
+            queueFor(k).freeWorkers.remove(worker.freeKey);
         }
-        w.freeAs = 0;
+        worker.freeKey = 0;
     }
 
-    /** The lane whose first job comes first, of those that this release is not through with. */
-    private Lane next() {
-        Lane first = null;
-        for (Lane l : waiting) {
-            boolean unable = !sweeps && plain.isEmpty() && l.free.isEmpty();
-            if (l.held.isEmpty() || mixed && (unable || l.passed >= LANE_AHEAD)) continue;
-            if (first == null || ORDER.compare(l.held.first(), first.held.first()) < 0) first = l;
+    /** The queue whose first job has the lowest key, of those that this pass may still try; null if none. */
+    private WorkQueue nextQueue() {
+        WorkQueue first = null;
+        for (WorkQueue queue : activeQueues) {
+            boolean noFreeWorker = !rechecking && sharedWorkers.isEmpty() && queue.freeWorkers.isEmpty();
+            if (queue.held.isEmpty()
+                    || hasDedicatedWorkers && (noFreeWorker || queue.unplaced >= MAX_UNPLACED_JOBS_PER_QUEUE)) continue;
+            if (first == null || BY_SORT_KEY.compare(queue.held.first(), first.held.first()) < 0) first = queue;
         }
         return first;
     }
 
-    /** Gives held jobs, smallest aged estimate first, to workers whose own count is below their bar. */
-    private void release() {
-        if (promptShare < SPARE_SHARE) List.copyOf(spare).forEach(this::finish);
-        waiting.removeIf(l -> l.held.isEmpty());
-        waiting.forEach(l -> l.passed = 0);
-        List<Request> passed = new ArrayList<>();
-        double[] blocked = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
-        for (Lane l = next(); l != null && (mixed || passed.size() < LOOK_AHEAD); l = next()) {
-            Request r = l.held.pollFirst();
-            if (r.done) continue;
-            if (!r.dead && now + r.cost / 2 > r.aim) {
-                // Exception, a job that cannot be in time: after all that can, or given up if worthless.
-                r.dead = true;
-                r.key += lateSteps(r);
-                pressedUntil = now + PRESSED_MS;
-                if (worthless(r) && promptShare < SPARE_SHARE) finish(r);
-                else keep(r);
+    /** Assigns held jobs, lowest sort key first, to workers with an estimated free slot. */
+    private void assignHeldJobs() {
+        if (promptShare < MIN_PROMPT_SHARE_FOR_LATE_JOBS)
+            List.copyOf(worthlessRequests).forEach(this::finish);
+        activeQueues.removeIf(queue -> queue.held.isEmpty());
+        activeQueues.forEach(queue -> queue.unplaced = 0);
+        List<Request> unplaced = new ArrayList<>();
+        double[] blockedSlots = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
+        for (WorkQueue queue = nextQueue();
+                queue != null && (hasDedicatedWorkers || unplaced.size() < MAX_UNPLACED_JOBS);
+                queue = nextQueue()) {
+            Request request = queue.held.pollFirst();
+            if (request.done) continue;
+            if (!request.missesAim && now + request.costMs / 2 > request.aimAt) {
+                // A job that cannot be in time goes back by its lost worth; one without worth needs spare capacity.
+                request.missesAim = true;
+                request.sortKey += lateKeyPenalty(request);
+                overloadedUntil = now + OVERLOAD_MEMORY_MS;
+                if (isWorthless(request) && promptShare < MIN_PROMPT_SHARE_FOR_LATE_JOBS) finish(request);
+                else enqueue(request);
                 continue;
             }
-            // What found no room leaves none for a job of as many slots: one scan of the fleet serves both.
-            int kind = recallable(r, 1) ? 1 : 0;
-            Worker w = r.job.slots() >= blocked[kind] ? null : choose(r, l);
-            if (w == null && r.cls.kind() < 0 && !mixed && r.attempts.isEmpty() && !asks(r)) {
-                blocked[kind] = Math.min(blocked[kind], r.job.slots());
+            // If no worker had enough slots, none has for other jobs of as many: one scan serves them all.
+            int recallIndex = canRecall(request, 1) ? 1 : 0;
+            Worker worker = request.job.slots() >= blockedSlots[recallIndex] ? null : chooseWorker(request, queue);
+            if (worker == null
+                    && request.jobClass.kind() < 0
+                    && !hasDedicatedWorkers
+                    && request.attempts.isEmpty()
+                    && !shouldProbe(request)) {
+                blockedSlots[recallIndex] = Math.min(blockedSlots[recallIndex], request.job.slots());
             }
-            if (w == null || !send(r, w)) {
-                passed.add(r);
-                l.passed++;
+            if (worker == null || !send(request, worker)) {
+                unplaced.add(request);
+                queue.unplaced++;
             }
         }
-        passed.forEach(this::keep);
-        if (!recheckSet && held() > 0) {
-            recheckSet = true;
-            at(
-                    now + RECHECK_MS,
+        unplaced.forEach(this::enqueue);
+        if (!recheckScheduled && heldCount() > 0) {
+            recheckScheduled = true;
+            schedule(
+                    now + RECHECK_INTERVAL_MS,
                     () -> {
-                        recheckSet = false;
-                        sweeps = true;
-                        release();
-                        sweeps = false;
+                        recheckScheduled = false;
+                        rechecking = true;
+                        assignHeldJobs();
+                        rechecking = false;
                     },
                     null);
         }
     }
 
-    /** The open worker on which the job should end first; freed workers in turn among equals. */
-    private Worker choose(Request r, Lane lane) {
-        boolean asks = asks(r);
+    /** The worker with a free slot and the lowest placement cost, or null; may send probes if there is none. */
+    private Worker chooseWorker(Request request, WorkQueue queue) {
+        boolean probesFirst = shouldProbe(request);
         Worker best = null;
-        double bestEnd = Double.POSITIVE_INFINITY;
-        // Exception, few attempts start at once: the fleet is full, theta alone would fill queues blindly.
-        boolean wary = promptShare < COMMIT_SHARE && !recallable(r, 1);
-        boolean ignoreBad = ejected > EJECT_CAP * plain.size();
-        Iterator<Worker> seats = lane.free.values().iterator();
-        for (int i = 0, looked = 0; i < plain.size() || looked < SCAN && seats.hasNext(); ) {
-            Worker w = i < plain.size() ? plain.get(i++) : seats.next();
-            boolean seat = w.places > 0;
-            if (seat && (w.badUntil > now || !coldAllows(r, w))) {
-                seats.remove(); // others are looked at meanwhile
-                at(Math.max(w.badUntil, now + set.rules().coldMs() / COLD_LOOKS), () -> vacate(w), null);
+        double bestCost = Double.POSITIVE_INFINITY;
+        // Few attempts start promptly, so the workers are full: the default slot limit would only fill their queues.
+        boolean thresholdDistrusted = promptShare < MIN_PROMPT_SHARE_TO_COMMIT && !canRecall(request, 1);
+        boolean ignoreEjections = ejectedCount > MAX_EJECTED_SHARE * sharedWorkers.size();
+        Iterator<Worker> dedicatedWorkers = queue.freeWorkers.values().iterator();
+        for (int i = 0, examined = 0;
+                i < sharedWorkers.size() || examined < MAX_DEDICATED_WORKERS_EXAMINED && dedicatedWorkers.hasNext(); ) {
+            Worker worker = i < sharedWorkers.size() ? sharedWorkers.get(i++) : dedicatedWorkers.next();
+            boolean dedicated = worker.knownSlots > 0;
+            if (dedicated && (worker.ejectedUntil > now || !coldBudgetAllows(request, worker))) {
+                dedicatedWorkers.remove(); // listed again later, so that other workers are examined meanwhile
+                schedule(
+                        Math.max(worker.ejectedUntil, now + settings.rules().coldMs() / COLD_RECHECKS),
+                        () -> markFree(worker),
+                        null);
                 continue;
             }
-            if (asks && !seat && now - w.seenAt > meanRun) continue;
-            looked += seat ? 1 : 0;
-            if (!ignoreBad && w.badUntil > now || !mayRun(r, w) || !runs(r, w)) continue;
-            // What may run only once is nothing to try a worker with that failed lately.
-            if (asks && !seat && w.failures > 0 && r.cls.effect() != Effect.FREE) continue;
-            double room = roomNow(w);
-            if (wary && !seat) room -= Math.max(0, 1 - weight(w)) * (THETA - w.own);
-            if (room <= 0 || asks && room < r.job.slots() || !coldAllows(r, w)) continue;
-            double end = endOn(w, r, Math.max(0, r.job.slots() - room));
-            if (end < bestEnd || end == bestEnd && w.turn < best.turn) {
-                best = w;
-                bestEnd = end;
+            if (probesFirst && !dedicated && now - worker.evidenceAt > meanRunMs) continue;
+            examined += dedicated ? 1 : 0;
+            if (!ignoreEjections && worker.ejectedUntil > now
+                    || !mayRunOn(request, worker)
+                    || !runsWork(request, worker)) continue;
+            // A job that must not be repeated is not used to find out whether a worker that failed lately works again.
+            if (probesFirst && !dedicated && worker.failures > 0 && request.jobClass.effect() != Effect.FREE) continue;
+            double freeSlots = estimatedFreeSlots(worker);
+            if (thresholdDistrusted && !dedicated)
+                freeSlots -= Math.max(0, 1 - evidenceWeight(worker)) * (DEFAULT_SLOT_LIMIT - worker.ownSlots);
+            if (freeSlots <= 0 || probesFirst && freeSlots < request.job.slots() || !coldBudgetAllows(request, worker))
+                continue;
+            double placementCost = placementCostMs(worker, request, Math.max(0, request.job.slots() - freeSlots));
+            if (placementCost < bestCost || placementCost == bestCost && worker.tieBreak < best.tieBreak) {
+                best = worker;
+                bestCost = placementCost;
             }
         }
-        if (best == null && asks && probesOut == 0) {
-            r.rounds++;
-            ask(r);
+        if (best == null && probesFirst && openProbes == 0) {
+            request.probeRounds++;
+            probeWorkers(request);
         }
         return best;
     }
 
-    /** How long until the job should have ended there; fees count as a share of the time to its aim. */
-    private double endOn(Worker w, Request r, double lack) {
-        boolean near = w.zone == set.zone();
-        double fee = (linked(w) ? 0 : set.fees().handshake())
-                + (near ? 0 : set.fees().crossZone());
-        double odds = fee * FEE_WEIGHT + (pulls ? 0 : waits[w.zone]);
-        double end = r.cost / speed(w) + lack * meanRun / kinds[w.kind].slots + (near ? 0 : prompt[w.zone]);
-        if (w.failures > 0 && r.cls.effect() != Effect.FREE) odds += 1;
-        return Math.max(pulls ? 0 : r.aim - now, end) + odds * Math.max(0, r.aim - now);
+    /** Expected time to the job's end on a worker, plus fees and risks as a part of the time left to its target. */
+    private double placementCostMs(Worker worker, Request request, double missingSlots) {
+        boolean sameZone = worker.zone == settings.zone();
+        double fee = (hasIdleConnection(worker) ? 0 : settings.fees().handshake())
+                + (sameZone ? 0 : settings.fees().crossZone());
+        double penalty = fee * FEE_WEIGHT + (probesEnabled ? 0 : lateStartShare[worker.zone]);
+        double expectedEndMs = request.costMs / speed(worker)
+                + missingSlots * meanRunMs / workerKinds[worker.kind].slots
+                + (sameZone ? 0 : startDelayMs[worker.zone]);
+        if (worker.failures > 0 && request.jobClass.effect() != Effect.FREE) penalty += 1;
+        return Math.max(probesEnabled ? 0 : request.aimAt - now, expectedEndMs)
+                + penalty * Math.max(0, request.aimAt - now);
     }
 
-    private boolean runs(Request r, Worker w) {
-        return w.runs == null ? r.job.work() < set.classes().size() : w.runs.get(r.job.work());
+    private boolean runsWork(Request request, Worker worker) {
+        return worker.workKinds == null
+                ? request.job.work() < settings.classes().size()
+                : worker.workKinds.get(request.job.work());
     }
 
-    private boolean asks(Request r) {
-        return pulls && r.rounds < PROBE_ROUNDS;
+    /** True while a job must find fresh evidence of a free slot before the default slot limit applies. */
+    private boolean shouldProbe(Request request) {
+        return probesEnabled && request.probeRounds < MAX_PROBE_ROUNDS;
     }
 
-    /** Slots below the bar: the bar is what evidence says while it is fresh, and theta as it ages. */
-    private double roomNow(Worker w) {
-        if (w.places > 0) return w.places - w.own;
-        double weight = weight(w);
-        return weight * w.room + (1 - weight) * (THETA - w.own);
+    /** Free slots by evidence while it is fresh; with its age the default slot limit takes over. */
+    private double estimatedFreeSlots(Worker worker) {
+        if (worker.knownSlots > 0) return worker.knownSlots - worker.ownSlots;
+        double weight = evidenceWeight(worker);
+        return weight * worker.freeSlots + (1 - weight) * (DEFAULT_SLOT_LIMIT - worker.ownSlots);
     }
 
-    private double weight(Worker w) {
-        return Math.max(0, 1 - (now - w.seenAt) / (EVIDENCE_RUNS * meanRun));
+    /** Falls from 1 for new evidence to 0 at the end of its lifetime. */
+    private double evidenceWeight(Worker worker) {
+        return Math.max(0, 1 - (now - worker.evidenceAt) / (EVIDENCE_LIFETIME_RUNS * meanRunMs));
     }
 
     /** True where an open connection to the worker is likely to be idle. */
-    private boolean linked(Worker w) {
-        return w.links > w.jobs && now - w.idleSince < set.limits().keepaliveMs();
+    private boolean hasIdleConnection(Worker worker) {
+        return worker.openConnections > worker.openAttempts
+                && now - worker.idleSince < settings.limits().keepaliveMs();
     }
 
-    private void see(Worker w, double room) {
-        w.room = room;
-        w.seenAt = now;
+    private void recordEvidence(Worker worker, double freeSlots) {
+        worker.freeSlots = freeSlots;
+        worker.evidenceAt = now;
     }
 
-    private double speed(Worker w) {
-        return (w.cost + 3 * meanRun * kinds[w.kind].speed()) / (w.run + 3 * meanRun);
+    private double speed(Worker worker) {
+        return (worker.costSum + 3 * meanRunMs * workerKinds[worker.kind].speed()) / (worker.runSum + 3 * meanRunMs);
     }
 
-    private double lateAfter(Worker w) {
-        return 2 * prompt[w.zone] + 4 * set.granularityMs() + 5;
+    /** Delay after which an attempt's start is no longer prompt. */
+    private double lateStartAfterMs(Worker worker) {
+        return 2 * startDelayMs[worker.zone] + 4 * settings.granularityMs() + 5;
     }
 
-    // ---- exception: reports exist; a held job asks before theta is believed ----
+    // ---- Load reports: a held job probes workers before the default slot limit applies ----
 
-    private void ask(Request r) {
-        int n = plain.size();
-        for (int i = 0, asked = 0; i < 4 * PROBES_PER_ROUND && asked < PROBES_PER_ROUND && n > 0; i++) {
+    private void probeWorkers(Request request) {
+        int workerCount = sharedWorkers.size();
+        for (int i = 0, asked = 0; i < 4 * PROBES_PER_ROUND && asked < PROBES_PER_ROUND && workerCount > 0; i++) {
             Worker best = null;
-            for (int k = 0; k < DRAWS; k++) {
-                Worker w = plain.get(random.nextInt(n));
-                boolean fresh = w.probing || now - w.reportAt <= meanRun / 2;
-                if (fresh || !mayRun(r, w) || w.badUntil > now) continue;
-                if (best == null || endOn(w, r, 0) < endOn(best, r, 0)) best = w;
+            for (int draw = 0; draw < CANDIDATES_PER_PROBE; draw++) {
+                Worker worker = sharedWorkers.get(random.nextInt(workerCount));
+                boolean recentlyAsked = worker.probing || now - worker.lastReportAt <= meanRunMs / 2;
+                if (recentlyAsked || !mayRunOn(request, worker) || worker.ejectedUntil > now) continue;
+                if (best == null || placementCostMs(worker, request, 0) < placementCostMs(best, request, 0))
+                    best = worker;
             }
             if (best == null) continue;
             best.probing = true;
-            probesOut++;
+            openProbes++;
             asked++;
-            out.probe(best.id);
+            actions.probe(best.id);
         }
     }
 
-    private void report(Worker w, LoadReport p) {
-        Kind k = kinds[w.kind];
-        // What is free and what runs are a worker's slots; few jobs of one's own never show them all.
-        double slots = p.freeSlots() + p.inflight() - (Double.isNaN(p.queue()) ? 0 : p.queue());
-        if (Double.isNaN(slots) && p.freeSlots() >= 0) slots = Math.max(k.slots, p.freeSlots());
-        // A false report must not open cold workers to a flood: one moves the slots by a tenth at the most.
-        double near = Math.min(slots, 2 * k.slots);
-        if (!Double.isNaN(near)) k.slots = Math.max(k.proven, k.slots + (near - k.slots) * SLOT_GAIN);
-        double room = !Double.isNaN(p.freeSlots()) ? p.freeSlots() : k.slots - p.inflight();
-        if (!Double.isNaN(p.queue())) room -= p.queue();
-        // A report may be older than what was sent since: jobs of one's own take slots whatever it says.
-        if (!Double.isNaN(slots)) room = Math.min(room, Math.max(k.slots, slots) - w.own);
-        // One that came with an answer was measured long before: it tells a worker's size, not what is free.
-        if (!Double.isNaN(room) && pulls) see(w, room);
-        w.reportAt = now;
-    }
-
-    // ---- exception: a free job that does not start is recalled; only where no probe tells of room ----
-
-    private void watchStart(Request r, Attempt a) {
-        if (!set.tellsStart()) return;
-        at(
-                a.sentAt + lateAfter(a.worker),
+    private void applyReport(Worker worker, LoadReport report) {
+        WorkerKind kind = workerKinds[worker.kind];
+        // A worker's slots are the free and the running ones; few jobs of this dispatcher never show them all.
+        double totalSlots =
+                report.freeSlots() + report.inflight() - (Double.isNaN(report.queue()) ? 0 : report.queue());
+        if (Double.isNaN(totalSlots) && report.freeSlots() >= 0) totalSlots = Math.max(kind.slots, report.freeSlots());
+        // One false report must not flood cold workers: it raises the slots of the kind by a tenth at most.
+        double boundedSlots = Math.min(totalSlots, 2 * kind.slots);
+        if (!Double.isNaN(boundedSlots))
+            kind.slots = Math.max(kind.provenSlots, kind.slots + (boundedSlots - kind.slots) * SLOT_GAIN);
+        double freeSlots = !Double.isNaN(report.freeSlots()) ? report.freeSlots() : kind.slots - report.inflight();
+        if (!Double.isNaN(report.queue())) freeSlots -= report.queue();
+        // A report may be older than jobs sent since: this dispatcher's own jobs take slots whatever it says.
+        if (!Double.isNaN(totalSlots))
+            freeSlots = Math.min(freeSlots, Math.max(kind.slots, totalSlots) - worker.ownSlots);
+        // A report with an answer is old: it shows the size of the worker, not its free slots.
+        if (!Double.isNaN(freeSlots) && probesEnabled) recordEvidence(worker, freeSlots);
+        worker.lastReportAt = now;
+    }
+
+    // ---- Late starts: harmless jobs are recalled, only where probes cannot find free slots ----
+
+    /** Records a late start if the attempt has not started promptly, and recalls the job if that is allowed. */
+    private void scheduleStartCheck(Request request, Attempt attempt) {
+        if (!settings.tellsStart()) return;
+        schedule(
+                attempt.sentAt + lateStartAfterMs(attempt.worker),
                 () -> {
-                    if (a.ending != null || !Double.isNaN(a.startedAt)) return;
-                    a.late = true;
-                    startSeen(a.worker, 0);
-                    see(a.worker, Math.min(a.worker.room, a.worker.running - a.worker.own));
-                    if (recallable(r, 0)) out.cancel(r.job.id(), r.attempts.indexOf(a));
+                    if (attempt.ending != null || !Double.isNaN(attempt.startedAt)) return;
+                    attempt.late = true;
+                    recordStart(attempt.worker, 0);
+                    recordEvidence(
+                            attempt.worker,
+                            Math.min(attempt.worker.freeSlots, attempt.worker.runningSlots - attempt.worker.ownSlots));
+                    if (canRecall(request, 0)) actions.cancel(request.job.id(), request.attempts.indexOf(attempt));
                 },
-                r);
+                request);
     }
 
-    private boolean recallable(Request r, int more) {
-        return set.reports() != Reports.PULL
-                && set.limits().cancelling()
-                && r.cls.effect() == Effect.FREE
-                && r.attempts.size() + more < set.limits().maxAttempts();
+    private boolean canRecall(Request request, int furtherAttempts) {
+        return settings.reports() != Reports.PULL
+                && settings.limits().cancelling()
+                && request.jobClass.effect() == Effect.FREE
+                && request.attempts.size() + furtherAttempts < settings.limits().maxAttempts();
     }
 
-    private void startSeen(Worker w, double inTime) {
-        promptShare += (inTime - promptShare) * PROMPT_GAIN;
-        waits[w.zone] += (1 - inTime - waits[w.zone]) * PROMPT_GAIN;
+    private void recordStart(Worker worker, double onTime) {
+        promptShare += (onTime - promptShare) * PROMPT_GAIN;
+        lateStartShare[worker.zone] += (1 - onTime - lateStartShare[worker.zone]) * PROMPT_GAIN;
     }
 
-    private void judge(Request r, Attempt a, Worker w, boolean ran) {
-        boolean word = a.ending == Ending.ERROR || a.ending == Ending.FULL;
-        if (w.places > 0 && word) return; // of a seat on the job, not on itself
-        switch (a.ending) {
+    /** Updates a worker's evidence, failures and speed after an attempt. */
+    private void recordEnding(Request request, Attempt attempt, Worker worker, boolean started) {
+        boolean reportedByWorker = attempt.ending == Ending.ERROR || attempt.ending == Ending.FULL;
+        if (worker.knownSlots > 0 && reportedByWorker) return; // blames the job, not the worker
+        switch (attempt.ending) {
             case OK -> {
-                w.failures /= 2; // one that fails every second job is no better for the one between
-                if (ran) learn(r, a, w);
+                worker.failures /= 2; // not 0: a worker that fails every second job must stay suspect
+                if (started) learnSpeed(request, attempt, worker);
             }
             case FULL -> {
-                // What turns jobs away is full, or drains and is not yet listed so.
-                see(w, -THETA);
-                eject(w, 0.25);
+                // The worker is full, or drains and is not yet listed as draining.
+                recordEvidence(worker, -DEFAULT_SLOT_LIMIT);
+                eject(worker, 0.25);
             }
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> {
-                // What fails at once costs nothing: only the next failure in a row tells of the worker.
-                boolean failed = a.ending == Ending.CONNECT_FAILED;
-                boolean quick = failed && now - a.sentAt < set.limits().dialTimeoutMs() / 2;
-                if (!quick) see(w, Math.min(w.room, 0));
-                boolean tells = a.ending == Ending.ERROR || failed && !quick;
-                if (tells || w.failures > 0) eject(w, 1);
-                else w.failures++;
+                // A connection refused at once costs no time: only the next failure in a row ejects the worker.
+                boolean connectFailed = attempt.ending == Ending.CONNECT_FAILED;
+                boolean failedAtOnce = connectFailed
+                        && now - attempt.sentAt < settings.limits().dialTimeoutMs() / 2;
+                if (!failedAtOnce) recordEvidence(worker, Math.min(worker.freeSlots, 0));
+                boolean conclusive = attempt.ending == Ending.ERROR || connectFailed && !failedAtOnce;
+                if (conclusive || worker.failures > 0) eject(worker, 1);
+                else worker.failures++;
             }
-            default -> see(w, ran ? w.room : Math.min(w.room, 0));
+            default -> recordEvidence(worker, started ? worker.freeSlots : Math.min(worker.freeSlots, 0));
         }
     }
 
     @Override
-    public void retune(double t, Settings next) {
-        now = t;
-        set = next;
+    public void retune(double eventTime, Settings next) {
+        now = eventTime;
+        settings = next;
     }
 
     @Override
-    public int avoided(double t) {
-        return (int) plain.stream().filter(x -> x.badUntil > t).count();
-    }
-
-    private void eject(Worker w, double part) {
-        w.failures++;
-        w.badUntil = now + part * Math.min(EJECT_MS * (1 << Math.min(w.failures, 10)), EJECT_MAX_MS);
-        ejected = (int) plain.stream().filter(x -> x.badUntil > now).count();
-    }
-
-    private void learn(Request r, Attempt a, Worker w) {
-        double run = now - a.startedAt;
-        meanRun += (run - meanRun) * 0.05;
-        Kind k = kinds[w.kind];
-        k.cost = k.cost * 0.99 + r.cost;
-        k.run = k.run * 0.99 + run;
-        w.cost = w.cost * 0.8 + r.cost;
-        w.run = w.run * 0.8 + run;
-    }
-
-    private void retry(Request r) {
-        Attempt first = mayHaveRun(r);
-        Attempt last = r.attempts.get(r.attempts.size() - 1);
-        boolean said = last.ending == Ending.ERROR && last.worker.places > 0; // by its worker: the job's end
-        if (said) r.aim = now;
-        boolean spent = said || r.attempts.size() >= set.limits().maxAttempts();
-        if (spent || first != null && !mayRun(r, first.worker)) finish(r);
-        else hold(r);
-    }
-
-    private static Attempt mayHaveRun(Request r) {
-        for (Attempt a : r.attempts) if (a.ending == null || !a.ending.neverRan()) return a;
+    public int avoided(double atMs) {
+        return (int) sharedWorkers.stream()
+                .filter(worker -> worker.ejectedUntil > atMs)
+                .count();
+    }
+
+    /** Counts a failure and keeps jobs away from the worker for a time that doubles with each failure. */
+    private void eject(Worker worker, double factor) {
+        worker.failures++;
+        worker.ejectedUntil =
+                now + factor * Math.min(EJECTION_BASE_MS * (1 << Math.min(worker.failures, 10)), MAX_EJECTION_MS);
+        ejectedCount = (int)
+                sharedWorkers.stream().filter(each -> each.ejectedUntil > now).count();
+    }
+
+    private void learnSpeed(Request request, Attempt attempt, Worker worker) {
+        double runMs = now - attempt.startedAt;
+        meanRunMs += (runMs - meanRunMs) * 0.05;
+        WorkerKind kind = workerKinds[worker.kind];
+        kind.costSum = kind.costSum * 0.99 + request.costMs;
+        kind.runSum = kind.runSum * 0.99 + runMs;
+        worker.costSum = worker.costSum * 0.8 + request.costMs;
+        worker.runSum = worker.runSum * 0.8 + runMs;
+    }
+
+    /** Holds a job again after its last open attempt, or finishes it; a worker with known slots has the last word. */
+    private void retryOrFinish(Request request) {
+        Attempt first = firstThatMayHaveRun(request);
+        Attempt last = request.attempts.get(request.attempts.size() - 1);
+        boolean failedByWorker = last.ending == Ending.ERROR && last.worker.knownSlots > 0;
+        if (failedByWorker) request.aimAt = now;
+        boolean noFurtherAttempt =
+                failedByWorker || request.attempts.size() >= settings.limits().maxAttempts();
+        if (noFurtherAttempt || first != null && !mayRunOn(request, first.worker)) finish(request);
+        else hold(request);
+    }
+
+    /** The first attempt that is open or may have run the job, or null. */
+    private static Attempt firstThatMayHaveRun(Request request) {
+        for (Attempt attempt : request.attempts)
+            if (attempt.ending == null || !attempt.ending.neverRan()) return attempt;
         return null;
     }
 
-    /** Kind fits and, rule 2: free, or nothing may have run, or the group still drops repeats. */
-    private boolean mayRun(Request r, Worker w) {
-        Attempt first = mayHaveRun(r);
-        if (r.cls.kind() >= 0 && r.cls.kind() != w.kind) return false;
-        if (first == null || r.cls.effect() == Effect.FREE) return true;
-        boolean drops = r.cls.effect() == Effect.GUARDED && now < first.sentAt + r.cls.windowMs();
-        return drops
-                && switch (r.cls.scope()) {
+    /** Whether the kind fits and, rule 2, a repeat is harmless: free, never run, or dropped by the worker's group. */
+    private boolean mayRunOn(Request request, Worker worker) {
+        Attempt first = firstThatMayHaveRun(request);
+        if (request.jobClass.kind() >= 0 && request.jobClass.kind() != worker.kind) return false;
+        if (first == null || request.jobClass.effect() == Effect.FREE) return true;
+        boolean groupDropsRepeats =
+                request.jobClass.effect() == Effect.GUARDED && now < first.sentAt + request.jobClass.windowMs();
+        return groupDropsRepeats
+                && switch (request.jobClass.scope()) {
                     case ALL -> true;
-                    case ZONE -> first.worker.zone == w.zone;
-                    case CELL -> first.worker.cell == w.cell;
+                    case ZONE -> first.worker.zone == worker.zone;
+                    case CELL -> first.worker.cell == worker.cell;
                 };
     }
 
-    /** The one place where attempts start; rules 1 to 4 are checked here for every path. */
-    private boolean send(Request r, Worker w) {
-        if (r.done
-                || w.phase != Phase.SERVING
-                || r.attempts.size() >= set.limits().maxAttempts()
-                || r.attemptsOut > 0 && !set.limits().parallelTries()
-                || !mayRun(r, w)
-                || now >= r.deadline - set.leastLeftMs()
-                || !coldAllows(r, w)) {
+    /** Starts an attempt if rules 1 to 4 allow it; every attempt starts here. */
+    private boolean send(Request request, Worker worker) {
+        if (request.done
+                || worker.phase != Phase.SERVING
+                || request.attempts.size() >= settings.limits().maxAttempts()
+                || request.openAttempts > 0 && !settings.limits().parallelTries()
+                || !mayRunOn(request, worker)
+                || now >= request.deadline - settings.leastLeftMs()
+                || !coldBudgetAllows(request, worker)) {
             return false;
         }
-        Attempt a = new Attempt(w, now, r.job.slots());
-        r.attempts.add(a);
-        r.attemptsOut++;
-        r.isHeld = false;
-        spare.remove(r);
-        r.rounds = 0;
-        if (!linked(w)) w.links = now - w.idleSince < set.limits().keepaliveMs() ? w.links + 1 : w.jobs + 1;
-        w.own += a.need;
-        w.jobs++;
-        if (w.places > 0 && w.own >= w.places) occupy(w);
-        w.room -= a.need;
-        w.turn = -order++;
-        w.lastSent = now;
-        out.assign(r.job.id(), w.id, 0);
-        watchStart(r, a);
+        Attempt attempt = new Attempt(worker, now, request.job.slots());
+        request.attempts.add(attempt);
+        request.openAttempts++;
+        request.held = false;
+        worthlessRequests.remove(request);
+        request.probeRounds = 0;
+        if (!hasIdleConnection(worker))
+            worker.openConnections = now - worker.idleSince < settings.limits().keepaliveMs()
+                    ? worker.openConnections + 1
+                    : worker.openAttempts + 1;
+        worker.ownSlots += attempt.slots;
+        worker.openAttempts++;
+        if (worker.knownSlots > 0 && worker.ownSlots >= worker.knownSlots) markBusy(worker);
+        worker.freeSlots -= attempt.slots;
+        worker.tieBreak = -nextSequence++;
+        worker.lastSentAt = now;
+        actions.assign(request.job.id(), worker.id, 0);
+        scheduleStartCheck(request, attempt);
         return true;
     }
 
-    /** Rule 4: work for a cold worker only as this dispatcher's part of its budget has been saved up. */
-    private boolean coldAllows(Request r, Worker w) {
-        double age = now - w.cameUp;
-        Rules rule = set.rules();
-        if (w.cameUp <= 0 || age >= rule.coldMs() || rule.coldMs() <= 0) return true;
-        double share = rule.coldFrom() + (1 - rule.coldFrom()) * Math.max(0, age) / rule.coldMs();
-        Kind k = kinds[w.kind];
-        double rate = COLD_PART * rule.fallMultiple() * share * k.slots * k.speed();
-        double need = Math.max(r.cost, meanCost * COLD_PART / COLD_JOBS); // the rule counts jobs of mean work
-        // A draw from the seed spreads the first jobs of all dispatchers evenly over time.
-        double saved = (now - Math.max(w.lastSent, w.coldSince)) * (rate / set.balancers())
-                + (w.lastSent < w.coldSince ? w.coldDraw * need : 0);
-        return need <= saved && r.cost <= rate * rule.fallMs() / 4;
-    }
-
-    /** The one place for this dispatcher's final answers: refused only where that is harmless and of use. */
-    private void finish(Request r) {
-        if (r.done) return;
-        boolean harmless = mayHaveRun(r) == null || r.cls.effect() == Effect.FREE;
-        double comeBack = Math.min(meanRun, set.limits().maxRetryAfterMs()); // by then a job has run through
-        if (harmless && now < r.aim) out.refuse(r.job.id(), comeBack);
-        else out.fail(r.job.id());
-        for (int i = 0; set.limits().cancelling() && i < r.attempts.size(); i++) {
-            if (r.attempts.get(i).ending == null) out.cancel(r.job.id(), i);
+    /** Rule 4: a cold worker gets a job only once this dispatcher's part of its budget has grown to that work. */
+    private boolean coldBudgetAllows(Request request, Worker worker) {
+        double ageMs = now - worker.processStartedAt;
+        Rules rules = settings.rules();
+        if (worker.processStartedAt <= 0 || ageMs >= rules.coldMs() || rules.coldMs() <= 0) return true;
+        double warmShare = rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, ageMs) / rules.coldMs();
+        WorkerKind kind = workerKinds[worker.kind];
+        double workPerMs = COLD_WORK_SHARE * rules.fallMultiple() * warmShare * kind.slots * kind.speed();
+        double neededWork = Math.max(
+                request.costMs, meanCostMs * COLD_WORK_SHARE / COLD_JOB_SHARE); // rule 4 counts jobs of mean cost
+        // Random jitter spreads the first jobs of all dispatchers evenly over time.
+        double savedWork = (now - Math.max(worker.lastSentAt, worker.coldSince)) * (workPerMs / settings.balancers())
+                + (worker.lastSentAt < worker.coldSince ? worker.coldJitter * neededWork : 0);
+        return neededWork <= savedWork && request.costMs <= workPerMs * rules.fallMs() / 4;
+    }
+
+    /** Gives the final answer unless done: refuses where a repeat is harmless and may be in time, else fails. */
+    private void finish(Request request) {
+        if (request.done) return;
+        boolean harmless = firstThatMayHaveRun(request) == null || request.jobClass.effect() == Effect.FREE;
+        double retryAfterMs = Math.min(meanRunMs, settings.limits().maxRetryAfterMs()); // a mean job has ended by then
+        if (harmless && now < request.aimAt) actions.refuse(request.job.id(), retryAfterMs);
+        else actions.fail(request.job.id());
+        for (int i = 0; settings.limits().cancelling() && i < request.attempts.size(); i++) {
+            if (request.attempts.get(i).ending == null) actions.cancel(request.job.id(), i);
         }
-        forget(r);
-    }
-
-    private void forget(Request r) {
-        r.done = true;
-        if (r.isHeld) lane(r.job.work()).held.remove(r);
-        spare.remove(r);
-        if (++moot > 1024 + tasks.size() / 2) {
-            tasks.removeIf(t -> t.about != null && t.about.done); // else a job stays here until its deadline
-            moot = 0;
+        forget(request);
+    }
+
+    /** Drops a job that is owed no answer; it stays known while attempts are open. */
+    private void forget(Request request) {
+        request.done = true;
+        if (request.held) queueFor(request.job.work()).held.remove(request);
+        worthlessRequests.remove(request);
+        if (++forgottenSincePurge > 1024 + tasks.size() / 2) {
+            tasks.removeIf(
+                    task -> task.request != null && task.request.done); // else they would stay until their deadlines
+            forgottenSincePurge = 0;
         }
-        r.isHeld = false;
-        if (r.attemptsOut == 0) requests.remove(r.job.id());
+        request.held = false;
+        if (request.openAttempts == 0) requests.remove(request.job.id());
     }
 
-    private void at(double when, Runnable what, Request r) {
-        tasks.add(new Task(when, order++, what, r));
+    /** Runs an action at or after a time, unless the request, if any, is done by then. */
+    private void schedule(double dueAt, Runnable action, Request request) {
+        tasks.add(new Task(dueAt, nextSequence++, action, request));
     }
 
-    /** Runs what is due and keeps one timer with the host, for the next task that still matters. */
-    private void settle() {
+    /** Runs the tasks that are due and requests a host timer for the next one unless an earlier timer is pending. */
+    private void runDueTasks() {
         while (!tasks.isEmpty()) {
             Task next = tasks.peek();
-            boolean over = next.about != null && next.about.done;
-            if (!over && next.at > now + TIMER_SLACK_MS) break;
+            boolean obsolete = next.request != null && next.request.done;
+            if (!obsolete && next.dueAt > now + TIMER_SLACK_MS) break;
             tasks.poll();
-            if (!over) next.what.run();
+            if (!obsolete) next.action.run();
         }
-        if (!tasks.isEmpty() && (wakes.isEmpty() || tasks.peek().at < wakes.peek())) {
-            wakes.add(tasks.peek().at);
-            out.timer(tasks.peek().at, 0);
+        if (!tasks.isEmpty() && (requestedTimers.isEmpty() || tasks.peek().dueAt < requestedTimers.peek())) {
+            requestedTimers.add(tasks.peek().dueAt);
+            actions.timer(tasks.peek().dueAt, 0);
         }
     }
 }
--- a/src/test/java/plumpost/decision/EvidenceTest.java
+++ b/src/test/java/plumpost/decision/EvidenceTest.java
@@ -1,9 +1,9 @@
 package plumpost.decision;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static plumpost.decision.Bench.job;
-import static plumpost.decision.Bench.outcome;
-import static plumpost.decision.Bench.worker;
+import static plumpost.decision.TestSettings.job;
+import static plumpost.decision.TestSettings.outcome;
+import static plumpost.decision.TestSettings.worker;
 
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
@@ -15,8 +15,8 @@
 
 /** What a scheduler that may probe takes as evidence of a worker's room: reports, and what its own jobs saw. */
 class EvidenceTest {
-    private final Bench bench = new Bench();
-    private final Recorder out = new Recorder();
+    private final TestSettings bench = new TestSettings();
+    private final RecordingActions out = new RecordingActions();
     private Logic logic;
 
     @BeforeEach
@@ -33,9 +33,9 @@
     /** A job that asked, was sent on the report and started at once. */
     private void firstJobStartsAtOnce(String id, double now) {
         logic.arrived(now, job(id, 0, 100));
-        assertThat(out.take("probe")).containsExactly("probe w");
+        assertThat(out.takeStartingWith("probe")).containsExactly("probe w");
         report(now + 1, 1, 0);
-        assertThat(out.take("assign")).containsExactly("assign " + id + " w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign " + id + " w");
         logic.started(now + 5, id, 0, "w");
         out.lines.clear();
     }
@@ -59,7 +59,7 @@
         logic.started(700, "a", 0, "w");
         logic.ended(1_900, outcome("a", 0, "w", Ending.OK));
         logic.arrived(2_500, job("b", 0, 100));
-        assertThat(out.take("")).contains("probe w").noneMatch(l -> l.startsWith("assign"));
+        assertThat(out.takeStartingWith("")).contains("probe w").noneMatch(l -> l.startsWith("assign"));
     }
 
     /** Whether a job of 1,000 may go to a worker of the same kind, 5 s after its start: at 0.6 of its capacity. */
@@ -67,7 +67,7 @@
         logic.workers(now, ListMode.FULL, List.of(worker("cold", 0, 0, now - 4_000)));
         logic.arrived(now + 1_000, job("large" + now, 0, 1_000));
         logic.probed(now + 1_001, "cold", Ending.OK, 1, new LoadReport(0, 0, 500, Double.NaN, 4, Double.NaN));
-        boolean sent = out.take("assign").contains("assign large" + now + " cold");
+        boolean sent = out.takeStartingWith("assign").contains("assign large" + now + " cold");
         logic.clientGone(now + 1_002, "large" + now);
         return sent;
     }
@@ -82,7 +82,7 @@
         for (int i = 0; i < 30; i++) {
             double now = 20_000 + 2_000 * i;
             logic.arrived(now, job("p" + i, 0, 1_000));
-            assertThat(out.take("probe")).containsExactly("probe w");
+            assertThat(out.takeStartingWith("probe")).containsExactly("probe w");
             report(now + 1, 0, 4);
             logic.clientGone(now + 2, "p" + i);
             out.lines.clear();
@@ -150,7 +150,7 @@
         for (int i = 0; i < 6; i++) {
             logic.arrived(1_001 + i, job("b" + i, 0, 100));
         }
-        assertThat(out.take("assign")).hasSize(2);
+        assertThat(out.takeStartingWith("assign")).hasSize(2);
         assertThat(out.lines).as("a probe would tell the same").noneMatch(l -> l.startsWith("probe"));
     }
 
@@ -169,9 +169,9 @@
         logic.arrived(1_000, job("new", 0, 100));
         out.lines.clear();
         logic.ended(1_001, outcome("a", 0, "w", Ending.OK));
-        assertThat(out.take("assign")).containsExactly("assign new w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign new w");
         logic.ended(1_002, outcome("b", 0, "w", Ending.OK));
-        assertThat(out.take("assign")).containsExactly("assign old w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign old w");
     }
 
     private void twoWorkers() {
@@ -190,7 +190,7 @@
                     1,
                     new LoadReport(0, 0, 500, Double.NaN, 1, Double.NaN));
         }
-        String line = out.take("assign " + id).get(0);
+        String line = out.takeStartingWith("assign " + id).get(0);
         return line.substring(line.lastIndexOf(' ') + 1);
     }
 
@@ -228,7 +228,7 @@
         firstJobStartsAtOnce("b", 20_000);
         logic.workers(20_010, ListMode.INCREMENTAL, List.of(worker("x", Phase.SERVING)));
         logic.arrived(20_011, job("o", 1, 100));
-        assertThat(out.take("")).contains("probe x").noneMatch(l -> l.startsWith("assign"));
+        assertThat(out.takeStartingWith("")).contains("probe x").noneMatch(l -> l.startsWith("assign"));
     }
 
     /** The same where nothing can be asked: with room on both, the one that failed comes last. */
@@ -238,12 +238,12 @@
         logic = new Logic(bench.settings(), 7, out);
         logic.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING), worker("x", Phase.SERVING)));
         logic.arrived(1, job("a", 1, 100));
-        String bad = out.take("assign a").get(0).substring("assign a ".length());
+        String bad = out.takeStartingWith("assign a").get(0).substring("assign a ".length());
         logic.ended(100, outcome("a", 0, bad, Ending.ERROR));
         for (int i = 0; i < 4; i++) {
             double now = 20_000 + 5_000 * i;
             logic.arrived(now, job("o" + i, 1, 100));
-            assertThat(out.take("assign o")).noneMatch(l -> l.endsWith(" " + bad));
+            assertThat(out.takeStartingWith("assign o")).noneMatch(l -> l.endsWith(" " + bad));
             logic.ended(now + 100, outcome("o" + i, 0, bad.equals("w") ? "x" : "w", Ending.OK));
         }
     }
--- a/src/test/java/plumpost/decision/FleetTest.java
+++ b/src/test/java/plumpost/decision/FleetTest.java
@@ -23,7 +23,7 @@
     private static final int WORKERS = 60;
     private static final int PLANTS = 3;
 
-    private final List<Recorder> outs = new ArrayList<>();
+    private final List<RecordingActions> outs = new ArrayList<>();
     private final List<Logic> fleet = new ArrayList<>();
     private final Map<String, WorkerEntry> workers = new LinkedHashMap<>();
 
@@ -40,14 +40,14 @@
         outs.clear();
         fleet.clear();
         for (int i = 0; i < count; i++) {
-            Bench bench = new Bench();
+            TestSettings bench = new TestSettings();
             bench.balancers = count;
             bench.index = i;
             bench.zone = i % PLANTS;
             bench.zones = PLANTS;
             bench.crossZone = 0.03;
             bench.reports = Dispatcher.Reports.PULL;
-            outs.add(new Recorder());
+            outs.add(new RecordingActions());
             fleet.add(new Logic(bench.settings(), 100 + i, outs.get(i)));
             fleet.get(i).workers(0, ListMode.SAVED, List.copyOf(workers.values()));
         }
@@ -92,11 +92,11 @@
         for (int s = 0; s < SCHEDULERS; s++) {
             for (int j = 0; j < 10; j++) {
                 double now = 10_000 * (j + 1);
-                fleet.get(s).arrived(now, Bench.job("j" + j, 0, 100));
+                fleet.get(s).arrived(now, TestSettings.job("j" + j, 0, 100));
                 for (String w : answerProbes(s, now + 1, 4)) {
                     sent++;
                     crossed += workers.get(w).zone() == s % PLANTS ? 0 : 1;
-                    fleet.get(s).ended(now + 100, Bench.outcome("j" + j, 0, w, Ending.OK));
+                    fleet.get(s).ended(now + 100, TestSettings.outcome("j" + j, 0, w, Ending.OK));
                 }
             }
         }
@@ -108,11 +108,11 @@
     @Test
     void firstListCallsAreSpreadAfterACommonStart() {
         for (int i = 0; i < SCHEDULERS; i++) {
-            Bench bench = new Bench();
+            TestSettings bench = new TestSettings();
             bench.balancers = SCHEDULERS;
             bench.index = i;
             bench.onRequest = true;
-            outs.set(i, new Recorder());
+            outs.set(i, new RecordingActions());
             fleet.set(i, new Logic(bench.settings(), 100 + i, outs.get(i)));
             fleet.get(i).workers(0, ListMode.SAVED, List.copyOf(workers.values()));
         }
@@ -122,7 +122,7 @@
             int asked = 0;
             for (int i = 0; i < SCHEDULERS; i++) {
                 fleet.get(i).timer(t, 0);
-                asked += outs.get(i).take("subscribe").size();
+                asked += outs.get(i).takeStartingWith("subscribe").size();
             }
             most = Math.max(most, asked);
             all += asked;
@@ -137,7 +137,7 @@
         Map<String, Integer> got = new LinkedHashMap<>();
         for (int s = 0; s < SCHEDULERS; s++) {
             for (int j = 0; j < 4; j++) {
-                fleet.get(s).arrived(1_000, Bench.job("j" + j, 0, 1_000));
+                fleet.get(s).arrived(1_000, TestSettings.job("j" + j, 0, 1_000));
             }
             answerProbes(s, 1_001, 4).forEach(w -> got.merge(w, 1, Integer::sum));
         }
@@ -154,11 +154,14 @@
             for (int j = 0; j < 30; j++) {
                 double now = 1_000 + 2_000 * j;
                 String id = "j" + j;
-                fleet.get(s).arrived(now, Bench.job(id, 1, 100));
+                fleet.get(s).arrived(now, TestSettings.job(id, 1, 100));
                 boolean bad = answered(s, now + 1, 4).get(0).equals("w0");
                 errors += bad ? 1 : 0;
                 fleet.get(s).started(now + 2, id, 0, bad ? "w0" : "w3");
-                fleet.get(s).ended(now + 50, Bench.outcome(id, 0, bad ? "w0" : "w3", bad ? Ending.ERROR : Ending.OK));
+                fleet.get(s)
+                        .ended(
+                                now + 50,
+                                TestSettings.outcome(id, 0, bad ? "w0" : "w3", bad ? Ending.ERROR : Ending.OK));
                 outs.get(s).lines.clear();
             }
         }
@@ -183,11 +186,11 @@
             for (int s = 0; s < schedulers; s++) {
                 double cost = 50 + random.nextInt(400);
                 String id = "j" + now;
-                fleet.get(s).arrived(now, Bench.job(id, 0, cost));
+                fleet.get(s).arrived(now, TestSettings.job(id, 0, cost));
                 for (String w : answered(s, now, 4)) {
                     sent.add(new double[] {now, cost});
                     fleet.get(s).started(now + 1, id, 0, w);
-                    fleet.get(s).ended(now + 2, Bench.outcome(id, 0, w, Ending.OK));
+                    fleet.get(s).ended(now + 2, TestSettings.outcome(id, 0, w, Ending.OK));
                 }
                 fleet.get(s).clientGone(now + 3, id);
                 outs.get(s).lines.clear();
@@ -223,11 +226,11 @@
             for (int s = 0; s < schedulers; s++) {
                 double cost = random.nextDouble() < 0.4 ? small : usual;
                 String id = "j" + now;
-                fleet.get(s).arrived(now, Bench.job(id, 0, cost));
+                fleet.get(s).arrived(now, TestSettings.job(id, 0, cost));
                 for (String worker : answered(s, now, 4)) {
                     sentAt.add(now);
                     fleet.get(s).started(now + 1, id, 0, worker);
-                    fleet.get(s).ended(now + 2, Bench.outcome(id, 0, worker, Ending.OK));
+                    fleet.get(s).ended(now + 2, TestSettings.outcome(id, 0, worker, Ending.OK));
                 }
                 fleet.get(s).clientGone(now + 3, id);
                 outs.get(s).lines.clear();
--- a/src/test/java/plumpost/decision/Recorder.java
+++ b/src/test/java/plumpost/decision/RecordingActions.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** An {@link Dispatcher.Actions} that writes down what it is asked, a line an action. */
-class Recorder implements Dispatcher.Actions {
+class RecordingActions implements Dispatcher.Actions {
     final List<String> lines = new ArrayList<>();
     final List<Double> timers = new ArrayList<>();
 
     /** The lines that begin with a word, and forgets all. */
-    List<String> take(String word) {
+    List<String> takeStartingWith(String word) {
         List<String> found = lines.stream().filter(l -> l.startsWith(word)).toList();
         lines.clear();
         return found;
--- a/src/test/java/plumpost/decision/RulesTest.java
+++ b/src/test/java/plumpost/decision/RulesTest.java
@@ -29,8 +29,8 @@
     }
 
     /** The host's side: checks each action against what the instance has been told. */
-    private static final class Host extends Recorder {
-        final Bench bench;
+    private static final class Host extends RecordingActions {
+        final TestSettings bench;
         final Map<String, Taken> taken = new HashMap<>();
         final Map<String, Dispatcher.WorkerEntry> listed = new HashMap<>();
         final Map<String, Double> coldWork = new HashMap<>();
@@ -38,7 +38,7 @@
         double now;
         int finals;
 
-        Host(Bench bench) {
+        Host(TestSettings bench) {
             this.bench = bench;
         }
 
@@ -110,7 +110,7 @@
 
     private void play(long seed) {
         Random random = new Random(seed);
-        Bench bench = new Bench();
+        TestSettings bench = new TestSettings();
         bench.parallel = random.nextBoolean();
         bench.onRequest = random.nextBoolean();
         bench.tellsStart = random.nextInt(4) > 0;
@@ -260,7 +260,7 @@
                 });
             default -> {
                 logic.started(host.now, "nobody", 0, "nothing");
-                logic.ended(host.now, Bench.outcome("nobody", 3, "nothing", Ending.OK));
+                logic.ended(host.now, TestSettings.outcome("nobody", 3, "nothing", Ending.OK));
                 logic.clientGone(host.now, "nobody");
                 logic.progressed(host.now, "nobody", 0, "nothing", 1);
             }
--- a/src/test/java/plumpost/decision/SeatsTest.java
+++ b/src/test/java/plumpost/decision/SeatsTest.java
@@ -1,7 +1,7 @@
 package plumpost.decision;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static plumpost.decision.Bench.outcome;
+import static plumpost.decision.TestSettings.outcome;
 
 import java.util.BitSet;
 import java.util.List;
@@ -14,8 +14,8 @@
 
 /** Lanes by kind of work, seats whose places are known, and priorities. */
 class SeatsTest {
-    private final Recorder out = new Recorder();
-    private final Logic logic = new Logic(new Bench().settings(), 1, out);
+    private final RecordingActions out = new RecordingActions();
+    private final Logic logic = new Logic(new TestSettings().settings(), 1, out);
 
     private void seat(String id, Phase phase, int... kinds) {
         BitSet runs = new BitSet();
@@ -35,10 +35,10 @@
         seat("w", Phase.SERVING, 7);
         arrive(1, "a", 7, 0);
         arrive(2, "b", 7, 0);
-        assertThat(out.take("assign")).containsExactly("assign a w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign a w");
         logic.started(3, "a", 0, "w");
         logic.ended(4, outcome("a", 0, "w", Ending.OK));
-        assertThat(out.take("assign")).containsExactly("assign b w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign b w");
         assertThat(out.lines).noneMatch(l -> l.startsWith("probe"));
     }
 
@@ -50,22 +50,22 @@
         }
         seat("w", Phase.SERVING, 7);
         arrive(2, "a", 7, 0);
-        assertThat(out.take("assign")).containsExactly("assign a w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign a w");
         seat("v", Phase.SERVING, 8);
-        assertThat(out.take("assign")).containsExactly("assign held0 v");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign held0 v");
     }
 
     /** Guards that a job goes to a seat that came free lately, which is awake, and not to the one that slept longest. */
     @Test
     void aSeatThatCameFreeLatelyIsTaken() {
-        int seats = Logic.SCAN + 4;
+        int seats = Logic.MAX_DEDICATED_WORKERS_EXAMINED + 4;
         for (int i = 0; i < seats; i++) {
             seat("w" + i, Phase.SERVING, 7);
         }
         for (int i = 0; i < seats; i++) {
             arrive(1, "j" + i, 7, 0);
         }
-        List<String> sent = out.take("assign");
+        List<String> sent = out.takeStartingWith("assign");
         assertThat(sent).hasSize(seats);
         List<String> freed =
                 sent.stream().map(l -> l.substring(l.lastIndexOf(' ') + 1)).toList();
@@ -74,7 +74,7 @@
             logic.ended(3, outcome("j" + i, 0, freed.get(i), Ending.OK));
         }
         arrive(5, "next", 7, 0);
-        String taken = out.take("assign next").get(0).substring("assign next ".length());
+        String taken = out.takeStartingWith("assign next").get(0).substring("assign next ".length());
         assertThat(freed.subList(4, seats)).contains(taken);
     }
 
@@ -87,7 +87,7 @@
         arrive(2100, "late", 7, 1);
         seat("w", Phase.SERVING, 7);
         for (String next : List.of("high", "old", "late", "low")) {
-            assertThat(out.take("assign")).containsExactly("assign " + next + " w");
+            assertThat(out.takeStartingWith("assign")).containsExactly("assign " + next + " w");
             logic.started(2200, next, 0, "w");
             logic.ended(2200, outcome(next, 0, "w", Ending.OK));
         }
@@ -99,10 +99,10 @@
         seat("w", Phase.SERVING, 7);
         for (int i = 0; i < 5; i++) {
             arrive(1, "a" + i, 7, 0);
-            assertThat(out.take("assign")).containsExactly("assign a" + i + " w");
+            assertThat(out.takeStartingWith("assign")).containsExactly("assign a" + i + " w");
             logic.started(2, "a" + i, 0, "w");
             logic.ended(3, outcome("a" + i, 0, "w", Ending.ERROR));
-            assertThat(out.take("fail")).containsExactly("fail a" + i);
+            assertThat(out.takeStartingWith("fail")).containsExactly("fail a" + i);
         }
     }
 
@@ -115,9 +115,9 @@
         seat("v", Phase.SERVING, 7);
         seat("w", Phase.DELETED, 7);
         logic.ended(2, outcome("a", 0, "w", Ending.RESET));
-        assertThat(out.take("assign")).containsExactly("assign a v");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign a v");
         arrive(3, "b", 7, 0);
-        assertThat(out.take("assign")).isEmpty();
+        assertThat(out.takeStartingWith("assign")).isEmpty();
     }
 
     /** Guards a seat whose functions change while it is free. */
@@ -126,14 +126,14 @@
         seat("w", Phase.SERVING, 7, 8);
         seat("w", Phase.SERVING, 8);
         arrive(1, "a", 7, 0);
-        assertThat(out.take("assign")).isEmpty();
+        assertThat(out.takeStartingWith("assign")).isEmpty();
         arrive(1, "b", 8, 0);
-        assertThat(out.take("assign")).containsExactly("assign b w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign b w");
         seat("v", Phase.SERVING, 7);
-        assertThat(out.take("assign")).containsExactly("assign a v");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign a v");
         seat("x", Phase.DRAINING, 7);
         arrive(2, "c", 7, 0);
-        assertThat(out.take("assign")).isEmpty();
+        assertThat(out.takeStartingWith("assign")).isEmpty();
     }
 
     /** Guards that a job with an aim of its own is not given up for its class's: one in the background waits. */
@@ -145,13 +145,13 @@
         }
         assertThat(out.lines).noneMatch(l -> l.startsWith("refuse") || l.startsWith("fail"));
         seat("w", Phase.SERVING, 7);
-        assertThat(out.take("assign")).containsExactly("assign bg w");
+        assertThat(out.takeStartingWith("assign")).containsExactly("assign bg w");
     }
 
     /** Guards orders for a Gearman worker beside probed nodes: nothing can be asked of a seat, so none waits for that. */
     @Test
     void anOrderDoesNotWaitToAskASeatThatFailed() {
-        Bench bench = new Bench();
+        TestSettings bench = new TestSettings();
         bench.reports = Dispatcher.Reports.PULL;
         Logic probing = new Logic(bench.settings(), 1, out);
         BitSet runs = new BitSet();
@@ -160,7 +160,7 @@
         for (int i = 0; i < 2; i++) {
             double now = 1 + 20_000 * i;
             probing.arrived(now, new Job("o" + i, 1, 0, null, 5000, Double.NaN, 1, Double.NaN, false, 7, 0, 60_000));
-            assertThat(out.take("assign")).containsExactly("assign o" + i + " w");
+            assertThat(out.takeStartingWith("assign")).containsExactly("assign o" + i + " w");
             probing.ended(now + 10, outcome("o" + i, 0, "w", Ending.RESET));
         }
     }
--- a/src/test/java/plumpost/decision/Bench.java
+++ b/src/test/java/plumpost/decision/TestSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Makes settings, workers and jobs for tests of the module. */
-final class Bench {
+final class TestSettings {
     int balancers = 1;
     int index;
     int zone;
