--- a/src/main/java/plumpost/decision/Dispatcher.java
+++ b/src/main/java/plumpost/decision/Dispatcher.java
@@ -4,37 +4,38 @@
 import java.util.List;
 
 /**
- * A dispatcher's decisions as its host sees them: events go in, actions come out through {@link Actions}.
+ * The decisions of one dispatcher: the host reports events, and the dispatcher answers with actions through
+ * {@link Actions}.
  *
- * <p>One caller at a time: an instance is not thread-safe and shares nothing with others. Time is what the events
- * say, in milliseconds from any start, and never runs backwards. Equal settings, seed and events give equal actions.
- * The host reports each attempt's end exactly once, delivers timers at or after their time, and lists a worker
- * before it reports anything about it. Names that are no longer known are passed over.
+ * <p>An instance is not thread-safe: its host makes one call at a time. Instances share no state. Every event carries
+ * the current time, in milliseconds since an arbitrary start, and time never runs backwards. Equal settings, seed and
+ * events give equal actions. The host reports the end of each attempt exactly once, delivers timers at or after their
+ * time, and lists a worker before it reports anything about it. Events about unknown jobs or workers are ignored.
  */
 public interface Dispatcher {
 
-    /** What repeating a job does: nothing harmful, nothing within a group and a time, or harm. */
+    /** Whether a job may run more than once: always, within a group of workers and a time, or never. */
     enum Effect {
         FREE,
         GUARDED,
         SINGLE_SHOT
     }
 
-    /** The workers that drop repeats of a {@link Effect#GUARDED} job that one of them has seen. */
+    /** The group of workers that drops repeats of a {@link Effect#GUARDED} job which one of them has received. */
     enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** A worker's listed state; DRAINING and DELETED workers get nothing new. */
+    /** The listed state of a worker; DRAINING and DELETED workers get no new attempts. */
     enum Phase {
         SERVING,
         DRAINING,
         DELETED
     }
 
-    /** Changes, a complete list, the complete list kept from before, or a failed list call. */
+    /** What a worker-list event carries: changes, a complete list, a complete list stored earlier, or a failed call. */
     enum ListMode {
         INCREMENTAL,
         FULL,
@@ -42,7 +43,7 @@
         FAILED
     }
 
-    /** How load reports come: never, with probe results, or with outcomes and probe results. */
+    /** How load reports arrive: never, with probe results, or with both outcomes and probe results. */
     enum Reports {
         SILENT,
         PULL,
@@ -60,13 +61,19 @@
         CANCELLED,
         MOOT;
 
-        /** True where this ending proves that the job never ran. */
+        /** True if this ending proves that the job never ran. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == MOOT;
         }
     }
 
-    /** A class of jobs. The aim is {@code aimMs} plus {@code aimStretch} times the job's own run time. */
+    /**
+     * A class of jobs. An answer is in time {@code aimMs} plus {@code aimStretch} times the job's run time after arrival.
+     *
+     * @param windowMs how long a group of workers drops repeats of a {@link Effect#GUARDED} job
+     * @param lateWorth the part of its worth that an answer keeps when it is late
+     * @param kind the only kind of worker that may run these jobs, or a negative number for any
+     */
     record JobClass(
             String name,
             double aimMs,
@@ -80,10 +87,10 @@
             int kind,
             int priority) {}
 
-    /** A tenant's agreed rate over all dispatchers, jobs a second, and its share of the service. */
+    /** A tenant's agreed rate in jobs per second over all dispatchers, and its share of the service. */
     record Tenant(String name, double quotaPerS, double share) {}
 
-    /** What the deployment allows. */
+    /** What the deployment allows dispatchers to do, with limits in numbers and milliseconds. */
     record Limits(
             int maxAttempts,
             boolean parallelTries,
@@ -95,7 +102,7 @@
             double dialTimeoutMs,
             double keepaliveMs) {}
 
-    /** The figures behind the rules on answers, drains and cold workers; see docs/design.md. */
+    /** The parameters of the rules on answers, drains and cold workers; see docs/design.md. */
     record Rules(
             double coldFrom,
             double coldMs,
@@ -105,14 +112,15 @@
             double mustAskInMs,
             double stopSendingWithinMs) {}
 
-    /** Prices, as shares of the result, of crossing zones, opening connections, probes, peer bytes, waste. */
+    /** Costs of crossing zones, connections, probes, peer bytes, late failures and waste, as shares of a result's worth. */
     record Fees(double crossZone, double handshake, double probe, double peer, double lateFail, double waste) {}
 
     /**
-     * All that an instance is told at its start.
+     * The configuration of an instance.
      *
-     * @param leastLeftMs with less time than this left to its client no attempt begins, since it might begin after the client
-     *     has left
+     * @param balancers the number of dispatchers that share the workers
+     * @param leastLeftMs no attempt begins with less time than this left to the client, since it might begin after the
+     *     client has left
      */
     record Settings(
             int balancers,
@@ -134,7 +142,7 @@
             double overShareWorth,
             double granularityMs,
             double leastLeftMs) {
-        /** Refuses settings that no deployment can mean, naming the setting. */
+        /** Checks the settings; throws {@link IllegalArgumentException} with the name of an illegal one. */
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -143,11 +151,17 @@
             require(zones >= 1 && kinds >= 1, "zones and kinds must be at least 1");
             require(limits.maxAttempts() >= 1, "maxAttempts must be at least 1");
             require(granularityMs >= 0 && progressMs >= 0, "granularityMs and progressMs must not be negative");
-            for (JobClass c : classes) {
-                require(c.effect() != null && c.scope() != null, "effect and scope of class " + c.name());
+            for (JobClass jobClass : classes) {
+                require(
+                        jobClass.effect() != null && jobClass.scope() != null,
+                        "effect and scope of class " + jobClass.name() + " must be set");
                 require(
-                        c.aimMs() >= 0 && c.deadlineMs() > 0 && c.windowMs() >= 0 && c.aimStretch() >= 0,
-                        "times of class " + c.name() + " must not be negative");
+                        jobClass.aimMs() >= 0
+                                && jobClass.deadlineMs() > 0
+                                && jobClass.windowMs() >= 0
+                                && jobClass.aimStretch() >= 0,
+                        "times of class " + jobClass.name()
+                                + " must not be negative, and its deadline must be positive");
             }
             require(
                     rules.coldMs() >= 0
@@ -157,20 +171,20 @@
                     "times of the rules must not be negative");
         }
 
-        private static void require(boolean kept, String what) {
-            if (!kept) {
-                throw new IllegalArgumentException("illegal settings: " + what);
+        private static void require(boolean condition, String message) {
+            if (!condition) {
+                throw new IllegalArgumentException("illegal settings: " + message);
             }
         }
     }
 
     /**
-     * A line of the worker list. A worker with {@code places} takes jobs from this dispatcher alone and runs so many at
-     * once: its room is known without asking, and its word that a job failed is the job's end.
+     * An entry of the worker list. A worker with known {@code places} runs that many jobs at once and takes them from this
+     * dispatcher alone: its free slots are known without a probe, and its report that a job failed ends the job.
      *
-     * @param cameUpMs when the worker last started, 0 for long ago
-     * @param runs the kinds of work that it runs, or null where it runs every class and nothing else
-     * @param places jobs that it runs at once, or 0 where that is not known
+     * @param cameUpMs when the worker process last started, or 0 for long ago
+     * @param runs the kinds of work that it runs, or null if it runs the work of every class and nothing else
+     * @param places the number of jobs that it runs at once, or 0 if that is not known
      */
     record WorkerEntry(
             String id,
@@ -182,24 +196,28 @@
             double cameUpMs,
             BitSet runs,
             int places) {
-        /** A worker that runs jobs of every class, in a number that is not known. */
+        /** Creates an entry for a worker that runs jobs of every class and whose number of slots is not known. */
         public WorkerEntry(String id, int zone, int kind, int cell, Phase phase, double units, double cameUpMs) {
             this(id, zone, kind, cell, phase, units, cameUpMs, null, 0);
         }
 
-        /** Whether it runs a kind of work, in a deployment of so many classes. */
+        /** Whether the worker runs a kind of work, in a deployment with the given number of classes. */
         public boolean does(int work, int classes) {
             return runs == null ? work < classes : runs.get(work);
         }
     }
 
     /**
-     * A job taken from a client; {@code costMs} and {@code memory} are NaN where unknown.
+     * A job taken from a client.
      *
-     * @param work the kind of work: the class's own index, or a number above all classes for work that only the
-     *             workers run that name it
-     * @param priority above 0 before others of its age, below 0 after them
-     * @param aimMs within what time it is wanted, or NaN where its class says that
+     * @param patienceMs time until the client's deadline
+     * @param costMs estimated run time, or NaN if unknown
+     * @param slots slots that the job occupies on its worker
+     * @param memory memory that the job needs, or NaN if unknown
+     * @param work the kind of work: the index of the class, or a number above all classes for work that only the workers
+     *     that name it run
+     * @param priority above 0 goes before jobs of the same age, below 0 after them
+     * @param aimMs time from now within which the answer is wanted, or NaN if the class determines it
      */
     record Job(
             String id,
@@ -214,7 +232,7 @@
             int work,
             int priority,
             double aimMs) {
-        /** A job of its class's own work, with nothing special about it. */
+        /** Creates a job of its class's own work, with default priority and target time. */
         public Job(
                 String id,
                 int cls,
@@ -229,79 +247,79 @@
         }
     }
 
-    /** A worker's own account of its load; NaN where not told. */
+    /** The load that a worker reports about itself; NaN for values that it does not report. */
     record LoadReport(
             double inflight, double queue, double latencyMs, double errorsPerS, double freeSlots, double freeMemory) {}
 
-    /** How an attempt ended; {@code over} once the request needs no further answer. */
+    /** How an attempt ended; {@code over} if the client needs no further answer. */
     record Outcome(
             String job, int attempt, String worker, Ending ending, double waitMs, boolean over, LoadReport report) {}
 
-    /** A worker-list event. */
+    /** Handles a change or a complete list of the workers, or a failed list call. */
     void workers(double now, ListMode mode, List<WorkerEntry> entries);
 
-    /** A job came in; it is owed one final answer. */
+    /** Handles a new job; it gets one final answer. */
     void arrived(double now, Job job);
 
-    /** An attempt's job has started to run. */
+    /** Records that a worker has started to run an attempt's job. */
     void started(double now, String job, int attempt, String worker);
 
-    /** An attempt's job reports the share of it done. */
+    /** Records which share, 0 to 1, of an attempt's job is done. */
     void progressed(double now, String job, int attempt, String worker, double share);
 
-    /** An attempt's streamed answer has begun; the attempt belongs to the client from here on. */
+    /** Records that an attempt's answer is being streamed to the client, which makes this attempt the answer. */
     void streaming(double now, String job, int attempt, String worker);
 
-    /** An attempt ended. */
+    /** Handles the end of an attempt. */
     void ended(double now, Outcome outcome);
 
-    /** The client is gone; nothing more is owed for the job. */
+    /** Drops a job whose client is gone; the job needs no answer any more. */
     void clientGone(double now, String job);
 
-    /** A timer asked for is due. */
+    /** Handles a timer that {@link Actions#timer} requested. */
     void timer(double now, long token);
 
-    /** A probe's result; {@code report} may be null. */
+    /** Handles the result of a probe; {@code report} may be null. */
     void probed(double now, String worker, Ending ending, double waitMs, LoadReport report);
 
-    /** A message from another dispatcher of the same tier: taken and left, since schedulers share nothing. */
+    /** Receives a message from another dispatcher. It is ignored, since dispatchers share no state. */
     void peerMessage(double now, int from, byte[] bytes);
 
     /**
-     * New settings from the operators: the classes of the old ones keep their numbers, new ones come after; jobs under
-     * way keep the class that they came with.
+     * Applies new settings. Classes of the old settings keep their numbers and new ones are added after them; open jobs
+     * keep the class that they arrived with.
      */
     default void retune(double now, Settings next) {}
 
-    /** Serving workers that it avoids for now by its own choice, such as for their failures; for the counters. */
+    /** The number of serving workers that get no jobs for now, for example because of failures; used for the counters. */
     default int avoided(double now) {
         return 0;
     }
 
-    /** What an instance asks of its host, carried out in the order of the calls. */
+    /** The actions that an instance asks its host to carry out, in the order of the calls. */
     interface Actions {
-        /** Starts the job's next attempt (numbered from 0) on a worker; 0 ms means no time-out of its own. */
+        /** Starts the job's next attempt (numbered from 0) on a worker; a timeout of 0 ms means none. */
         void assign(String job, String worker, double timeoutMs);
 
-        /** Final answer: turned away, trying again is harmless. */
+        /** Gives the final answer that the job was not accepted; the client may safely repeat it after the given time. */
         void refuse(String job, double retryAfterMs);
 
-        /** Final answer: failed, nothing is promised about its effect. */
+        /** Gives the final answer that the job failed; it may have run. */
         void fail(String job);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt; its end is still reported. */
         void cancel(String job, int attempt);
 
-        /** Asks a worker for a sign of life and, where there are any, its load report. */
+        /** Probes a worker for whether it responds and, where supported, for its load report. */
         void probe(String worker);
 
-        /** Asks for {@link Dispatcher#timer} at or after a time. */
+        /** Requests a call of {@link Dispatcher#timer} at or after a time. */
         void timer(double atMs, long token);
 
-        /** Subscribes to changes of the worker list. */
+        /** Requests the worker list and its changes. */
         void subscribe();
 
-        /** A line for the operator. */
-        void log(String words);
+        /** Writes a log line for the operator. */
+        void log(String message);
     }
 }
--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -243,10 +243,8 @@
     public void workers(double eventTime, ListMode mode, List<WorkerEntry> entries) {
         now = eventTime;
         if (mode == ListMode.FAILED) {
-            // Calls of all dispatchers at once would overload the list service: retries are spread, later ones back
-            // off.
-            // Pushed changes count as announced even while the list is unavailable, so a drain allows only its own
-            // time.
+            // If all dispatchers call at once, calls queue up: delays are random, and longer after a slow call.
+            // Pushed changes count as announced even if nothing listens: a drain's own time bounds the delay.
             Rules rules = settings.rules();
             double queueMs = now - listRequestedAt > LIST_RETRY_MS ? LIST_CALL_MS * settings.balancers() : 0;
             double retryMs = Math.max(LIST_RETRY_MS, Math.min(MAX_LIST_RETRY_MS, queueMs));
--- a/src/test/java/plumpost/decision/RecordingActions.java
+++ b/src/test/java/plumpost/decision/RecordingActions.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void log(String words) {
-        lines.add("log " + words);
+    public void log(String message) {
+        lines.add("log " + message);
     }
 }
