--- a/src/main/java/plumpost/benchlink/WireHost.java
+++ b/src/main/java/plumpost/benchlink/WireHost.java
@@ -21,7 +21,10 @@
 import plumpost.decision.Dispatcher;
 import plumpost.decision.Logic;
 
-/** Hosts many instances on the wire: one reply a batch, each event handed to its instance. Decides nothing. */
+/**
+ * Connects dispatchers to a simulator over JSON lines. Each batch of events gets one reply, which holds the actions of the
+ * instances that the events were for. All decisions are made by the instances.
+ */
 public final class WireHost {
     private final JsonParser in;
     private final OutputStream out;
@@ -31,9 +34,10 @@
     private final Map<Integer, Instance> instances = new HashMap<>();
     private boolean failed;
 
+    /** An instance, and whether its load reports tell free slots. */
     private record Instance(Logic logic, boolean freeSlots) {}
 
-    /** A host that reads batches, writes replies and says on {@code err} what is wrong. */
+    /** Creates a host that reads batches from {@code in}, writes replies to {@code out} and errors to {@code err}. */
     public WireHost(InputStream in, OutputStream out, PrintStream err) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.in = factory.createParser(in);
@@ -43,11 +47,11 @@
         json.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
     }
 
-    /** Serves batches until input ends; the exit code is 0, or 1 after a message on what went wrong. */
+    /** Answers batches until the input ends. Returns the exit code: 0, or 1 after an error message. */
     public int run() {
         try {
             while (in.nextToken() != null) {
-                batch(message("beginBatch"));
+                handleBatch(readMessage("beginBatch"));
                 if (failed) {
                     return 1;
                 }
@@ -59,22 +63,24 @@
             err.println("plumpost: input is not JSON: " + e.getOriginalMessage() + " at line "
                     + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()));
         } catch (IOException e) {
-            err.println("plumpost: the wire broke: " + e.getMessage());
+            err.println("plumpost: connection to the simulator failed: " + e.getMessage());
         }
         return 1;
     }
 
-    private Json.Fields message(String where) throws IOException {
+    /** Reads the object at the parser's position; {@code where} names it in error messages if it has no type. */
+    private Json.Fields readMessage(String where) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new Json.BadInput(where + ": a line is not a JSON object");
         }
         @SuppressWarnings("unchecked")
         Map<String, Object> map = (Map<String, Object>) Json.value(in);
         Object type = map.get("event_type");
-        return new Json.Fields(type instanceof String s ? s : where, map);
+        return new Json.Fields(type instanceof String text ? text : where, map);
     }
 
-    private void batch(Json.Fields head) throws IOException {
+    /** Handles the events of a batch up to yourTurn, then writes the reply. */
+    private void handleBatch(Json.Fields head) throws IOException {
         if (!head.text("event_type").equals("beginBatch")) {
             throw new Json.BadInput(head.where() + ": expected beginBatch");
         }
@@ -85,13 +91,13 @@
             if (in.nextToken() == null) {
                 throw new Json.BadInput("input ended inside batch " + seq + ", before yourTurn");
             }
-            Json.Fields f = message("an event of batch " + seq);
-            String type = f.text("event_type");
+            Json.Fields event = readMessage("an event of batch " + seq);
+            String type = event.text("event_type");
             if (type.equals("yourTurn")) {
                 break;
             }
             if (!failed) {
-                event(type, f, now);
+                handleEvent(type, event, now);
             }
         }
         json.writeStartObject();
@@ -104,7 +110,8 @@
         out.flush();
     }
 
-    private void event(String type, Json.Fields f, double now) throws IOException {
+    /** Handles an event for an instance; other types of event are ignored. */
+    private void handleEvent(String type, Json.Fields event, double now) throws IOException {
         switch (type) {
             case "init",
                     "destroy",
@@ -121,144 +128,145 @@
                 return;
             }
         }
-        int i = f.whole("i");
+        int index = event.whole("i");
         if (type.equals("init")) {
-            Json.Fields config = f.object("config");
+            Json.Fields config = event.object("config");
             try {
                 Dispatcher.Settings settings = SettingsReader.settings(config);
                 instances.put(
-                        i,
+                        index,
                         new Instance(
-                                new Logic(settings, f.longWhole("entropy"), new Out(i)), settings.reportsFreeSlots()));
+                                new Logic(settings, event.longWhole("entropy"), new InstanceActions(index)),
+                                settings.reportsFreeSlots()));
             } catch (IllegalArgumentException e) {
                 throw new Json.BadInput("init: " + e.getMessage());
             }
             return;
         }
-        Instance at = instances.get(i);
-        if (at == null) {
-            throw new Json.BadInput(type + ": field i names the unknown instance " + i);
+        Instance instance = instances.get(index);
+        if (instance == null) {
+            throw new Json.BadInput(type + ": field i names the unknown instance " + index);
         }
         if (type.equals("destroy")) {
-            instances.remove(i);
+            instances.remove(index);
             return;
         }
-        Runnable call = call(type, f, now, at);
+        Runnable call = readEvent(type, event, now, instance);
         try {
             call.run();
         } catch (RuntimeException e) {
             failed = true;
-            err.println("plumpost: instance " + i + " failed on " + type + ": " + e);
+            err.println("plumpost: instance " + index + " failed on " + type + ": " + e);
             e.printStackTrace(err);
-            new Out(i).write("bailOut", "words", type + ": " + e);
+            new InstanceActions(index).write("bailOut", "words", type + ": " + e);
         }
     }
 
-    /** Reads the event's fields, so that what is malformed is told from what fails in the instance. */
-    private Runnable call(String type, Json.Fields f, double now, Instance at) {
-        Dispatcher d = at.logic;
+    /** Reads an event's fields before the instance is called, so that malformed input is not taken for its failure. */
+    private Runnable readEvent(String type, Json.Fields event, double now, Instance instance) {
+        Dispatcher dispatcher = instance.logic;
         switch (type) {
             case "discovery" -> {
-                Dispatcher.ListMode mode = f.oneOf("mode", Dispatcher.ListMode.class);
+                Dispatcher.ListMode mode = event.oneOf("mode", Dispatcher.ListMode.class);
                 List<Dispatcher.WorkerEntry> entries = new ArrayList<>();
-                for (Object o : f.listOrEmpty("lines")) {
-                    entries.add(WireCodec.entry(o));
+                for (Object line : event.listOrEmpty("lines")) {
+                    entries.add(EventReader.readWorkerEntry(line));
                 }
-                return () -> d.workers(now, mode, entries);
+                return () -> dispatcher.workers(now, mode, entries);
             }
             case "knock" -> {
                 Dispatcher.Job job = new Dispatcher.Job(
-                        f.text("handle"),
-                        f.whole("band"),
-                        (int) f.number("team", 0),
-                        f.text("affinity", null),
-                        f.number("patienceLeftMs"),
-                        f.number("costGuessMs", Double.NaN),
-                        f.number("needs", 1),
-                        f.number("memory", Double.NaN),
-                        f.flag("retry", false));
-                return () -> d.arrived(now, job);
+                        event.text("handle"),
+                        event.whole("band"),
+                        (int) event.number("team", 0),
+                        event.text("affinity", null),
+                        event.number("patienceLeftMs"),
+                        event.number("costGuessMs", Double.NaN),
+                        event.number("needs", 1),
+                        event.number("memory", Double.NaN),
+                        event.flag("retry", false));
+                return () -> dispatcher.arrived(now, job);
             }
             case "flowing" -> {
-                String job = f.text("handle");
-                int attempt = f.whole("try");
-                String worker = f.text("worker");
-                return () -> d.streaming(now, job, attempt, worker);
+                String job = event.text("handle");
+                int attempt = event.whole("try");
+                String worker = event.text("worker");
+                return () -> dispatcher.streaming(now, job, attempt, worker);
             }
             case "note" -> {
-                String job = f.text("handle");
-                int attempt = f.whole("try");
-                String worker = f.text("worker");
-                int topic = f.whole("topic");
-                double amount = f.number("amount", 0);
+                String job = event.text("handle");
+                int attempt = event.whole("try");
+                String worker = event.text("worker");
+                int topic = event.whole("topic");
+                double amount = event.number("amount", 0);
                 return topic == 1
-                        ? () -> d.started(now, job, attempt, worker)
-                        : topic == 2 ? () -> d.progressed(now, job, attempt, worker, amount) : () -> {};
+                        ? () -> dispatcher.started(now, job, attempt, worker)
+                        : topic == 2 ? () -> dispatcher.progressed(now, job, attempt, worker, amount) : () -> {};
             }
             case "result" -> {
-                Dispatcher.Outcome o = new Dispatcher.Outcome(
-                        f.text("handle"),
-                        f.whole("try"),
-                        f.text("worker"),
-                        f.oneOf("ending", Dispatcher.Ending.class),
-                        f.number("waitTimeMs", 0),
-                        f.flag("noMore", false),
-                        WireCodec.report(f, at.freeSlots));
-                return () -> d.ended(now, o);
+                Dispatcher.Outcome outcome = new Dispatcher.Outcome(
+                        event.text("handle"),
+                        event.whole("try"),
+                        event.text("worker"),
+                        event.oneOf("ending", Dispatcher.Ending.class),
+                        event.number("waitTimeMs", 0),
+                        event.flag("noMore", false),
+                        EventReader.readLoadReport(event, instance.freeSlots));
+                return () -> dispatcher.ended(now, outcome);
             }
             case "expired" -> {
-                String job = f.text("handle");
-                return () -> d.clientGone(now, job);
+                String job = event.text("handle");
+                return () -> dispatcher.clientGone(now, job);
             }
             case "bell" -> {
-                long token = f.longWhole("name");
-                return () -> d.timer(now, token);
+                long token = event.longWhole("name");
+                return () -> dispatcher.timer(now, token);
             }
             case "probed" -> {
-                String worker = f.text("worker");
-                Dispatcher.Ending ending = f.oneOf("ending", Dispatcher.Ending.class);
-                double wait = f.number("waitTimeMs", 0);
-                Dispatcher.LoadReport report = WireCodec.report(f, at.freeSlots);
-                return () -> d.probed(now, worker, ending, wait, report);
+                String worker = event.text("worker");
+                Dispatcher.Ending ending = event.oneOf("ending", Dispatcher.Ending.class);
+                double waitMs = event.number("waitTimeMs", 0);
+                Dispatcher.LoadReport report = EventReader.readLoadReport(event, instance.freeSlots);
+                return () -> dispatcher.probed(now, worker, ending, waitMs, report);
             }
             default -> {
-                int from = f.whole("srcPeer");
+                int from = event.whole("srcPeer");
                 byte[] bytes;
                 try {
-                    bytes = Base64.getDecoder().decode(f.text("bytes"));
+                    bytes = Base64.getDecoder().decode(event.text("bytes"));
                 } catch (IllegalArgumentException e) {
                     throw new Json.BadInput("peerData: field bytes is not base64");
                 }
-                return () -> d.peerMessage(now, from, bytes);
+                return () -> dispatcher.peerMessage(now, from, bytes);
             }
         }
     }
 
-    /** Writes one instance's actions into the reply. */
-    private final class Out implements Dispatcher.Actions {
-        private final int i;
+    /** Writes the actions of one instance into the reply. */
+    private final class InstanceActions implements Dispatcher.Actions {
+        private final int index;
 
-        Out(int i) {
-            this.i = i;
+        InstanceActions(int index) {
+            this.index = index;
         }
 
-        /** An action line: names and values in turn, null values left out. */
+        /** Writes an action line; {@code fields} holds names and values in turn. */
         private void write(String type, Object... fields) {
             try {
                 json.writeStartObject();
                 json.writeStringField("event_type", type);
-                json.writeNumberField("i", i);
+                json.writeNumberField("i", index);
                 for (int k = 0; k < fields.length; k += 2) {
                     json.writeFieldName((String) fields[k]);
-                    Object v = fields[k + 1];
-                    if (v instanceof String s) {
-                        json.writeString(s);
-                    } else if (v instanceof Double x) {
-                        json.writeNumber(x);
-                    } else if (v instanceof Boolean b) {
-                        json.writeBoolean(b);
+                    Object value = fields[k + 1];
+                    if (value instanceof String text) {
+                        json.writeString(text);
+                    } else if (value instanceof Double number) {
+                        json.writeNumber(number);
+                    } else if (value instanceof Boolean flag) {
+                        json.writeBoolean(flag);
                     } else {
-                        json.writeNumber(((Number) v).longValue());
+                        json.writeNumber(((Number) value).longValue());
                     }
                 }
                 json.writeEndObject();
@@ -303,8 +311,8 @@
         }
 
         @Override
-        public void log(String words) {
-            write("debug", "words", words);
+        public void log(String message) {
+            write("debug", "words", message);
         }
     }
 }
