--- a/src/test/java/plumpost/benchlink/WireHostTest.java
+++ b/src/test/java/plumpost/benchlink/WireHostTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Transcripts of the wire: good ones, split ones and broken ones. */
+/** Tests the host with transcripts of the simulator's protocol: valid, divided among hosts, and malformed ones. */
 class WireHostTest {
     private static final String CONFIG = "{\"balancers\":2,\"dcs\":[\"a\"],\"shapes\":[\"k\"],\"locality\":0,"
             + "\"granularityMs\":2.0,\"new\":{\"unknown\":[1]},\"classes\":[{\"name\":\"c\",\"sloMs\":400.0,"
@@ -44,15 +44,15 @@
     private static String init(int i) {
         return "{\"event_type\":\"init\",\"i\":" + i + ",\"entropy\":" + (40 + i) + ",\"config\":" + CONFIG + "}\n"
                 + "{\"event_type\":\"discovery\",\"i\":" + i + ",\"stamp\":1,\"mode\":\"SAVED\",\"lines\":["
-                + line("w1") + "," + line("w2") + "," + line("w3") + "]}";
+                + workerLine("w1") + "," + workerLine("w2") + "," + workerLine("w3") + "]}";
     }
 
-    private static String line(String worker) {
+    private static String workerLine(String worker) {
         return "{\"worker\":\"" + worker + "\",\"area\":0,\"type\":0,\"stripe\":0,\"phase\":\"SERVING\","
                 + "\"units\":1.5,\"cameUpMs\":null}";
     }
 
-    private static String knock(int i, String id) {
+    private static String jobArrival(int i, String id) {
         return "{\"event_type\":\"knock\",\"i\":" + i + ",\"handle\":\"" + id + "\",\"band\":0,\"team\":0,"
                 + "\"affinity\":null,\"patienceLeftMs\":240.0,\"costGuessMs\":12.0,\"needs\":1,\"memory\":null,"
                 + "\"retry\":false,\"write\":false,\"returned\":false,\"novel\":[{}]}";
@@ -69,7 +69,7 @@
     @Test
     void aJobIsSentAndUnknownEventsAreSkipped() throws IOException {
         String reply = serve(batch(1, 1, init(3))
-                + batch(2, 5.5, "{\"event_type\":\"sunrise\",\"i\":99}", knock(3, "9b9a6df85d3a91c4")));
+                + batch(2, 5.5, "{\"event_type\":\"sunrise\",\"i\":99}", jobArrival(3, "9b9a6df85d3a91c4")));
         assertTrue(reply.contains("\"event_type\":\"assign\",\"i\":3,\"handle\":\"9b9a6df85d3a91c4\""), reply);
         assertTrue(reply.endsWith("{\"event_type\":\"next\",\"seq\":2}\n"), reply);
         assertEquals(0, exit);
@@ -79,56 +79,56 @@
     @Test
     void anInstanceMayRestartWithinABatch() throws IOException {
         String reply = serve(batch(1, 1, init(0))
-                + batch(2, 2, "{\"event_type\":\"destroy\",\"i\":0}", init(0), knock(0, "00000000000000aa")));
+                + batch(2, 2, "{\"event_type\":\"destroy\",\"i\":0}", init(0), jobArrival(0, "00000000000000aa")));
         assertTrue(reply.contains("assign"), reply);
         assertEquals(0, exit);
     }
 
     @Test
-    void instancesActTheSameHoweverTheyAreSplit() throws IOException {
-        List<String> together = lines(serve(day(0, 1)));
-        List<String> apart = new ArrayList<>(lines(serve(day(0))));
-        apart.addAll(lines(serve(day(1))));
+    void instancesActTheSameTogetherAndApart() throws IOException {
+        List<String> together = actionLines(serve(batches(0, 1)));
+        List<String> apart = new ArrayList<>(actionLines(serve(batches(0))));
+        apart.addAll(actionLines(serve(batches(1))));
         assertTrue(together.stream().anyMatch(l -> l.contains("assign")));
         assertEquals(
                 together.stream().sorted().toList(), apart.stream().sorted().toList());
     }
 
-    private static List<String> lines(String reply) {
+    private static List<String> actionLines(String reply) {
         return reply.lines()
                 .filter(l -> !l.isEmpty() && !l.contains("\"next\""))
                 .toList();
     }
 
-    private static String day(int... instances) {
-        StringBuilder all = new StringBuilder();
-        for (int b = 1; b < 60; b++) {
+    private static String batches(int... instances) {
+        StringBuilder input = new StringBuilder();
+        for (int batch = 1; batch < 60; batch++) {
             List<String> events = new ArrayList<>();
             for (int i : instances) {
-                if (b == 1) {
+                if (batch == 1) {
                     events.add(init(i));
                 } else {
-                    events.add(knock(i, String.format("%08x%08x", i, b)));
+                    events.add(jobArrival(i, String.format("%08x%08x", i, batch)));
                 }
             }
-            all.append(batch(b, b * 4.0, events.toArray(new String[0])));
+            input.append(batch(batch, batch * 4.0, events.toArray(new String[0])));
         }
-        return all.toString();
+        return input.toString();
     }
 
     @Test
-    void brokenInputIsSaidInOneSentence() throws IOException {
-        String[] broken = {
+    void malformedInputIsReportedInOneSentence() throws IOException {
+        String[] malformedInputs = {
             "hello\n",
             batch(1, 1).replace("{\"event_type\":\"yourTurn\"}\n", ""),
             batch(1, 1, init(0), "{\"event_type\":\"knock\",\"i\":0,\"handle\":\"aa\"}"),
-            batch(1, 1, init(0), knock(0, "aa").replace("240.0", "\"long\"")),
-            batch(1, 1, knock(7, "aa")),
+            batch(1, 1, init(0), jobArrival(0, "aa").replace("240.0", "\"long\"")),
+            batch(1, 1, jobArrival(7, "aa")),
             batch(1, 1, init(0).replace("\"free\"", "\"fluid\"")),
             batch(1, 1, init(0).replace("\"deadlineMs\":5000.0", "\"deadlineMs\":-1")),
             batch(1, 1, "[1]"),
         };
-        String[] said = {
+        String[] expectedMessages = {
             "JSON",
             "input ended inside batch 1",
             "knock: field band is missing",
@@ -138,18 +138,18 @@
             "times of class c",
             "not a JSON object"
         };
-        for (int i = 0; i < broken.length; i++) {
-            String reply = serve(broken[i]);
-            assertEquals(1, exit, said[i]);
-            assertTrue(errors.contains(said[i]), said[i] + " in " + errors);
-            assertFalse(errors.contains("\tat "), "a plain sentence, no stack trace");
-            assertFalse(reply.contains("assign"), "no half reply");
+        for (int i = 0; i < malformedInputs.length; i++) {
+            String reply = serve(malformedInputs[i]);
+            assertEquals(1, exit, expectedMessages[i]);
+            assertTrue(errors.contains(expectedMessages[i]), expectedMessages[i] + " in " + errors);
+            assertFalse(errors.contains("\tat "), "the message must not contain a stack trace");
+            assertFalse(reply.contains("assign"), "no actions may be written for malformed input");
         }
     }
 
     @Test
-    void aFailingInstanceBailsOut() throws IOException {
-        String reply = serve(batch(1, 1, init(0), knock(0, "aa").replace("\"band\":0", "\"band\":9")));
+    void aFailingInstanceIsReportedAndEndsTheHost() throws IOException {
+        String reply = serve(batch(1, 1, init(0), jobArrival(0, "aa").replace("\"band\":0", "\"band\":9")));
         assertTrue(reply.contains("\"event_type\":\"bailOut\",\"i\":0"), reply);
         assertEquals(1, exit);
     }
