--- a/src/test/java/plumpost/decision/EvidenceTest.java
+++ b/src/test/java/plumpost/decision/EvidenceTest.java
@@ -13,130 +13,132 @@
 import plumpost.decision.Dispatcher.LoadReport;
 import plumpost.decision.Dispatcher.Phase;
 
-/** What a scheduler that may probe takes as evidence of a worker's room: reports, and what its own jobs saw. */
+/** Tests what counts as evidence of a worker's free slots: its load reports, and the starts and ends of own jobs. */
 class EvidenceTest {
-    private final TestSettings bench = new TestSettings();
-    private final RecordingActions out = new RecordingActions();
-    private Logic logic;
+    private final TestSettings settings = new TestSettings();
+    private final RecordingActions actions = new RecordingActions();
+    private Logic dispatcher;
 
     @BeforeEach
     void start() {
-        bench.reports = Dispatcher.Reports.PULL;
-        logic = new Logic(bench.settings(), 7, out);
-        logic.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING)));
+        settings.reports = Dispatcher.Reports.PULL;
+        dispatcher = new Logic(settings.settings(), 7, actions);
+        dispatcher.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING)));
     }
 
-    private void report(double now, double free, double inflight) {
-        logic.probed(now, "w", Ending.OK, 1, new LoadReport(inflight, 0, 500, Double.NaN, free, Double.NaN));
+    private void report(double now, double freeSlots, double runningJobs) {
+        dispatcher.probed(
+                now, "w", Ending.OK, 1, new LoadReport(runningJobs, 0, 500, Double.NaN, freeSlots, Double.NaN));
     }
 
-    /** A job that asked, was sent on the report and started at once. */
-    private void firstJobStartsAtOnce(String id, double now) {
-        logic.arrived(now, job(id, 0, 100));
-        assertThat(out.takeStartingWith("probe")).containsExactly("probe w");
+    /** Adds a job that is assigned after a probe and starts promptly. */
+    private void probeAndStartPromptly(String id, double now) {
+        dispatcher.arrived(now, job(id, 0, 100));
+        assertThat(actions.takeStartingWith("probe")).containsExactly("probe w");
         report(now + 1, 1, 0);
-        assertThat(out.takeStartingWith("assign")).containsExactly("assign " + id + " w");
-        logic.started(now + 5, id, 0, "w");
-        out.lines.clear();
+        assertThat(actions.takeStartingWith("assign")).containsExactly("assign " + id + " w");
+        dispatcher.started(now + 5, id, 0, "w");
+        actions.lines.clear();
     }
 
-    /** Guards thin traffic: a report grows old between two jobs, and each of them asked three workers again. */
+    /** With little traffic, reports were too old for the next job, so that each job probed three workers again. */
     @Test
-    void theEndOfAJobThatStartedAtOnceShowsRoomWithoutAProbe() {
-        firstJobStartsAtOnce("a", 1);
-        logic.ended(1_900, outcome("a", 0, "w", Ending.OK));
-        logic.arrived(2_500, job("b", 0, 100));
-        assertThat(out.lines).contains("assign b w").noneMatch(l -> l.startsWith("probe"));
+    void theEndOfAPromptlyStartedJobShowsAFreeSlotWithoutAProbe() {
+        probeAndStartPromptly("a", 1);
+        dispatcher.ended(1_900, outcome("a", 0, "w", Ending.OK));
+        dispatcher.arrived(2_500, job("b", 0, 100));
+        assertThat(actions.lines).contains("assign b w").noneMatch(l -> l.startsWith("probe"));
     }
 
-    /** Its slot was waited for: whoever waited behind it has the slot now, so the next job asks again. */
+    /** The job was queued at the worker, so its slot may go to one queued behind it: the next job must probe again. */
     @Test
-    void theEndOfAJobThatWaitedShowsNoRoom() {
-        logic.arrived(1, job("a", 0, 100));
+    void theEndOfAJobThatStartedLateShowsNoFreeSlot() {
+        dispatcher.arrived(1, job("a", 0, 100));
         report(2, 1, 0);
-        out.lines.clear();
-        logic.timer(400, 0);
-        logic.started(700, "a", 0, "w");
-        logic.ended(1_900, outcome("a", 0, "w", Ending.OK));
-        logic.arrived(2_500, job("b", 0, 100));
-        assertThat(out.takeStartingWith("")).contains("probe w").noneMatch(l -> l.startsWith("assign"));
+        actions.lines.clear();
+        dispatcher.timer(400, 0);
+        dispatcher.started(700, "a", 0, "w");
+        dispatcher.ended(1_900, outcome("a", 0, "w", Ending.OK));
+        dispatcher.arrived(2_500, job("b", 0, 100));
+        assertThat(actions.takeStartingWith("")).contains("probe w").noneMatch(l -> l.startsWith("assign"));
     }
 
-    /** Whether a job of 1,000 may go to a worker of the same kind, 5 s after its start: at 0.6 of its capacity. */
-    private boolean coldWorkerTakesALargeJob(double now) {
-        logic.workers(now, ListMode.FULL, List.of(worker("cold", 0, 0, now - 4_000)));
-        logic.arrived(now + 1_000, job("large" + now, 0, 1_000));
-        logic.probed(now + 1_001, "cold", Ending.OK, 1, new LoadReport(0, 0, 500, Double.NaN, 4, Double.NaN));
-        boolean sent = out.takeStartingWith("assign").contains("assign large" + now + " cold");
-        logic.clientGone(now + 1_002, "large" + now);
+    /** Whether a job of 1,000 ms is assigned to a cold worker of the same kind 5 s after its start, at 0.6 of its capacity. */
+    private boolean coldWorkerGetsLargeJob(double now) {
+        dispatcher.workers(now, ListMode.FULL, List.of(worker("cold", 0, 0, now - 4_000)));
+        dispatcher.arrived(now + 1_000, job("large" + now, 0, 1_000));
+        dispatcher.probed(now + 1_001, "cold", Ending.OK, 1, new LoadReport(0, 0, 500, Double.NaN, 4, Double.NaN));
+        boolean sent = actions.takeStartingWith("assign").contains("assign large" + now + " cold");
+        dispatcher.clientGone(now + 1_002, "large" + now);
         return sent;
     }
 
-    /** Guards cold workers' capacity: few jobs of one's own never showed more than theta slots. */
+    /** Own jobs are too few to show more slots than the default limit, which kept the budget of cold workers low. */
     @Test
     void slotsOfAKindAreLearnedFromReports() {
-        assertThat(coldWorkerTakesALargeJob(10_000))
-                .as("a quarter of what two slots may be sent is 720")
+        assertThat(coldWorkerGetsLargeJob(10_000))
+                .as("a quarter of the work allowed for two slots is 720 ms")
                 .isFalse();
-        logic.workers(12_000, ListMode.FULL, List.of(worker("w", Phase.SERVING)));
+        dispatcher.workers(12_000, ListMode.FULL, List.of(worker("w", Phase.SERVING)));
         for (int i = 0; i < 30; i++) {
             double now = 20_000 + 2_000 * i;
-            logic.arrived(now, job("p" + i, 0, 1_000));
-            assertThat(out.takeStartingWith("probe")).containsExactly("probe w");
+            dispatcher.arrived(now, job("p" + i, 0, 1_000));
+            assertThat(actions.takeStartingWith("probe")).containsExactly("probe w");
             report(now + 1, 0, 4);
-            logic.clientGone(now + 2, "p" + i);
-            out.lines.clear();
+            dispatcher.clientGone(now + 2, "p" + i);
+            actions.lines.clear();
         }
-        assertThat(coldWorkerTakesALargeJob(100_000))
-                .as("four slots may be sent 1,440")
+        assertThat(coldWorkerGetsLargeJob(100_000))
+                .as("a quarter of the work allowed for four slots is 1,440 ms")
                 .isTrue();
     }
 
-    /** Guards cold workers from one false report, which would raise the budget of all of its kind. */
+    /** One false report must not raise the budgets of all cold workers of the kind. */
     @Test
     void oneFalseReportDoesNotOpenColdWorkers() {
-        logic.arrived(1, job("a", 0, 1_000));
+        dispatcher.arrived(1, job("a", 0, 1_000));
         report(2, 0, 1e9);
-        logic.clientGone(3, "a");
-        out.lines.clear();
-        assertThat(coldWorkerTakesALargeJob(10_000))
-                .as("a quarter of what 2.2 slots may be sent is 792")
+        dispatcher.clientGone(3, "a");
+        actions.lines.clear();
+        assertThat(coldWorkerGetsLargeJob(10_000))
+                .as("a quarter of the work allowed for 2.2 slots is 792 ms")
                 .isFalse();
     }
 
-    /** Guards a worker whose reports come late: each one that told of the room before our jobs came sent more there. */
+    /** Reports that predate this dispatcher's jobs showed their slots as free and attracted more jobs to a full worker. */
     @Test
-    void aLateReportDoesNotHideOnesOwnJobs() {
-        int sent = 0;
+    void anOldReportDoesNotHideThisDispatchersJobs() {
+        int assignedJobs = 0;
         for (int i = 0; i < 12; i++) {
             double now = 10 + 600 * i;
-            logic.arrived(now, job("a" + i, 0, 1_000));
-            // Three slots, none of them taken: true when it was measured, before the first job came.
-            logic.probed(now + 1, "w", Ending.OK, 1, new LoadReport(Double.NaN, 0, 500, Double.NaN, 3, Double.NaN));
-            boolean went = out.lines.contains("assign a" + i + " w");
-            sent += went ? 1 : 0;
-            if (went) {
-                logic.started(now + 2, "a" + i, 0, "w");
+            dispatcher.arrived(now, job("a" + i, 0, 1_000));
+            // Three free slots, which was true before the first job arrived.
+            dispatcher.probed(
+                    now + 1, "w", Ending.OK, 1, new LoadReport(Double.NaN, 0, 500, Double.NaN, 3, Double.NaN));
+            boolean assigned = actions.lines.contains("assign a" + i + " w");
+            assignedJobs += assigned ? 1 : 0;
+            if (assigned) {
+                dispatcher.started(now + 2, "a" + i, 0, "w");
             }
-            out.lines.clear();
+            actions.lines.clear();
         }
-        assertThat(sent).isEqualTo(3);
+        assertThat(assignedJobs).isEqualTo(3);
     }
 
-    private void begin(Dispatcher.Reports reports) {
-        bench.reports = reports;
-        logic = new Logic(bench.settings(), 7, out);
-        logic.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING)));
-        out.lines.clear();
+    private void restart(Dispatcher.Reports reports) {
+        settings.reports = reports;
+        dispatcher = new Logic(settings.settings(), 7, actions);
+        dispatcher.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING)));
+        actions.lines.clear();
     }
 
-    /** Guards fleets whose reports come with answers only, measured before most of what was sent: theta holds there. */
+    /** Reports that arrive with answers predate most assigned jobs, so the default slot limit must apply. */
     @Test
-    void whatComesWithAnswersSaysNothingOfRoom() {
-        begin(Dispatcher.Reports.PIGGYBACK);
-        logic.arrived(1, job("a", 0, 100));
-        logic.started(2, "a", 0, "w");
-        logic.ended(
+    void reportsWithAnswersAreNoEvidenceOfFreeSlots() {
+        restart(Dispatcher.Reports.PIGGYBACK);
+        dispatcher.arrived(1, job("a", 0, 100));
+        dispatcher.started(2, "a", 0, "w");
+        dispatcher.ended(
                 1_000,
                 new Dispatcher.Outcome(
                         "a",
@@ -146,122 +148,124 @@
                         1_000,
                         true,
                         new LoadReport(Double.NaN, 0, 500, Double.NaN, 9, Double.NaN)));
-        out.lines.clear();
+        actions.lines.clear();
         for (int i = 0; i < 6; i++) {
-            logic.arrived(1_001 + i, job("b" + i, 0, 100));
+            dispatcher.arrived(1_001 + i, job("b" + i, 0, 100));
         }
-        assertThat(out.takeStartingWith("assign")).hasSize(2);
-        assertThat(out.lines).as("a probe would tell the same").noneMatch(l -> l.startsWith("probe"));
+        assertThat(actions.takeStartingWith("assign")).hasSize(2);
+        assertThat(actions.lines)
+                .as("probes are not used where reports come with answers")
+                .noneMatch(l -> l.startsWith("probe"));
     }
 
-    /** Guards classes whose late answers keep a part of their worth: while jobs wait, the fresh one goes first. */
+    /** A late job whose answer keeps part of its worth is assigned after a fresh one while jobs wait. */
     @Test
-    void whatIsLateGivesWayToWhatCanBeInTime() {
-        bench.classes = List.of(new Dispatcher.JobClass(
+    void aLateJobIsAssignedAfterOneThatCanBeInTime() {
+        settings.classes = List.of(new Dispatcher.JobClass(
                 "c", 400, 0, 9_000, Dispatcher.Effect.FREE, Dispatcher.Scope.ALL, 0, 1, 0.25, -1, 0));
-        begin(Dispatcher.Reports.SILENT);
+        restart(Dispatcher.Reports.SILENT);
         for (String id : List.of("a", "b")) {
-            logic.arrived(1, job(id, 0, 100));
-            logic.started(2, id, 0, "w");
+            dispatcher.arrived(1, job(id, 0, 100));
+            dispatcher.started(2, id, 0, "w");
         }
-        logic.arrived(10, job("old", 0, 100));
-        logic.timer(600, 0);
-        logic.arrived(1_000, job("new", 0, 100));
-        out.lines.clear();
-        logic.ended(1_001, outcome("a", 0, "w", Ending.OK));
-        assertThat(out.takeStartingWith("assign")).containsExactly("assign new w");
-        logic.ended(1_002, outcome("b", 0, "w", Ending.OK));
-        assertThat(out.takeStartingWith("assign")).containsExactly("assign old w");
+        dispatcher.arrived(10, job("old", 0, 100));
+        dispatcher.timer(600, 0);
+        dispatcher.arrived(1_000, job("new", 0, 100));
+        actions.lines.clear();
+        dispatcher.ended(1_001, outcome("a", 0, "w", Ending.OK));
+        assertThat(actions.takeStartingWith("assign")).containsExactly("assign new w");
+        dispatcher.ended(1_002, outcome("b", 0, "w", Ending.OK));
+        assertThat(actions.takeStartingWith("assign")).containsExactly("assign old w");
     }
 
-    private void twoWorkers() {
-        logic.workers(0, ListMode.FULL, List.of(worker("w", Phase.SERVING), worker("x", Phase.SERVING)));
+    private void listTwoWorkers() {
+        dispatcher.workers(0, ListMode.FULL, List.of(worker("w", Phase.SERVING), worker("x", Phase.SERVING)));
     }
 
-    /** Answers what is asked with one free slot on each worker, and returns where the job went. */
-    private String placed(String id, int cls, double now) {
-        logic.arrived(now, job(id, cls, 100));
-        for (String asked :
-                out.lines.stream().filter(l -> l.startsWith("probe ")).toList()) {
-            logic.probed(
+    /** Adds a job, answers each probe with one free slot, and returns the worker that gets the job. */
+    private String assignedWorker(String id, int classIndex, double now) {
+        dispatcher.arrived(now, job(id, classIndex, 100));
+        for (String probe :
+                actions.lines.stream().filter(l -> l.startsWith("probe ")).toList()) {
+            dispatcher.probed(
                     now + 1,
-                    asked.substring("probe ".length()),
+                    probe.substring("probe ".length()),
                     Ending.OK,
                     1,
                     new LoadReport(0, 0, 500, Double.NaN, 1, Double.NaN));
         }
-        String line = out.takeStartingWith("assign " + id).get(0);
+        String line = actions.takeStartingWith("assign " + id).get(0);
         return line.substring(line.lastIndexOf(' ') + 1);
     }
 
-    /** Guards orders from a failing worker: each scheduler of a large fleet met it twice before it kept away. */
+    /** Each scheduler of a large fleet used to lose two orders to a failing worker before it ejected the worker. */
     @Test
     void oneErrorEjectsItsWorker() {
-        twoWorkers();
-        String bad = placed("a", 1, 1);
-        logic.ended(300, outcome("a", 0, bad, Ending.ERROR));
-        assertThat(logic.avoided(301)).isEqualTo(1);
-        assertThat(placed("b", 0, 302)).isNotEqualTo(bad);
+        listTwoWorkers();
+        String failedWorker = assignedWorker("a", 1, 1);
+        dispatcher.ended(300, outcome("a", 0, failedWorker, Ending.ERROR));
+        assertThat(dispatcher.avoided(301)).isEqualTo(1);
+        assertThat(assignedWorker("b", 0, 302)).isNotEqualTo(failedWorker);
     }
 
-    /** Guards against a worker that fails most jobs: a success between made it as good as new. */
+    /** A worker that failed most jobs used to be fully trusted after one success. */
     @Test
-    void oneSuccessDoesNotClearManyErrors() {
+    void oneSuccessDoesNotClearSeveralErrors() {
         Ending[] endings = {Ending.ERROR, Ending.ERROR, Ending.ERROR, Ending.OK, Ending.ERROR};
         for (int i = 0; i < endings.length; i++) {
             double now = 1 + 20_000 * i;
-            assertThat(placed("a" + i, 0, now)).isEqualTo("w");
-            logic.ended(now + 100, outcome("a" + i, 0, "w", endings[i]));
-            logic.clientGone(now + 100, "a" + i);
+            assertThat(assignedWorker("a" + i, 0, now)).isEqualTo("w");
+            dispatcher.ended(now + 100, outcome("a" + i, 0, "w", endings[i]));
+            dispatcher.clientGone(now + 100, "a" + i);
         }
-        assertThat(logic.avoided(80_101 + 1_500))
-                .as("a first error ejects for a second")
+        assertThat(dispatcher.avoided(80_101 + 1_500))
+                .as("a first error would eject for 1 s only")
                 .isEqualTo(1);
     }
 
-    /** Guards orders from being what a failing worker is tried with again: rather another worker is asked. */
+    /** An order must not be used to test whether a worker that failed works again: another worker is probed. */
     @Test
-    void anOrderAsksElsewhereThanAtAWorkerThatFailedLately() {
-        firstJobStartsAtOnce("a", 1);
-        logic.ended(100, outcome("a", 0, "w", Ending.ERROR));
-        logic.clientGone(101, "a");
-        firstJobStartsAtOnce("b", 20_000);
-        logic.workers(20_010, ListMode.INCREMENTAL, List.of(worker("x", Phase.SERVING)));
-        logic.arrived(20_011, job("o", 1, 100));
-        assertThat(out.takeStartingWith("")).contains("probe x").noneMatch(l -> l.startsWith("assign"));
+    void anOrderProbesAnotherWorkerThanOneThatFailedLately() {
+        probeAndStartPromptly("a", 1);
+        dispatcher.ended(100, outcome("a", 0, "w", Ending.ERROR));
+        dispatcher.clientGone(101, "a");
+        probeAndStartPromptly("b", 20_000);
+        dispatcher.workers(20_010, ListMode.INCREMENTAL, List.of(worker("x", Phase.SERVING)));
+        dispatcher.arrived(20_011, job("o", 1, 100));
+        assertThat(actions.takeStartingWith("")).contains("probe x").noneMatch(l -> l.startsWith("assign"));
     }
 
-    /** The same where nothing can be asked: with room on both, the one that failed comes last. */
+    /** The same without probes: if both workers have free slots, the one that failed is used last. */
     @Test
-    void anOrderGoesLastToAWorkerThatFailedLately() {
-        bench.reports = Dispatcher.Reports.SILENT;
-        logic = new Logic(bench.settings(), 7, out);
-        logic.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING), worker("x", Phase.SERVING)));
-        logic.arrived(1, job("a", 1, 100));
-        String bad = out.takeStartingWith("assign a").get(0).substring("assign a ".length());
-        logic.ended(100, outcome("a", 0, bad, Ending.ERROR));
+    void withoutProbesAnOrderPrefersWorkersThatDidNotFail() {
+        settings.reports = Dispatcher.Reports.SILENT;
+        dispatcher = new Logic(settings.settings(), 7, actions);
+        dispatcher.workers(0, ListMode.SAVED, List.of(worker("w", Phase.SERVING), worker("x", Phase.SERVING)));
+        dispatcher.arrived(1, job("a", 1, 100));
+        String failedWorker = actions.takeStartingWith("assign a").get(0).substring("assign a ".length());
+        dispatcher.ended(100, outcome("a", 0, failedWorker, Ending.ERROR));
         for (int i = 0; i < 4; i++) {
             double now = 20_000 + 5_000 * i;
-            logic.arrived(now, job("o" + i, 1, 100));
-            assertThat(out.takeStartingWith("assign o")).noneMatch(l -> l.endsWith(" " + bad));
-            logic.ended(now + 100, outcome("o" + i, 0, bad.equals("w") ? "x" : "w", Ending.OK));
+            dispatcher.arrived(now, job("o" + i, 1, 100));
+            assertThat(actions.takeStartingWith("assign o")).noneMatch(l -> l.endsWith(" " + failedWorker));
+            dispatcher.ended(now + 100, outcome("o" + i, 0, failedWorker.equals("w") ? "x" : "w", Ending.OK));
         }
     }
 
-    /** Where no other worker is left, an order goes to one that failed: better than not at all. */
+    /** If there is no other worker, an order is assigned to one that failed rather than not at all. */
     @Test
-    void anOrderGoesToAWorkerThatFailedWhereThereIsNoOther() {
-        logic.arrived(1, job("a", 0, 100));
+    void anOrderIsAssignedToAFailedWorkerIfThereIsNoOther() {
+        dispatcher.arrived(1, job("a", 0, 100));
         report(2, 1, 0);
-        logic.ended(100, outcome("a", 0, "w", Ending.ERROR));
-        out.lines.clear();
-        logic.clientGone(101, "a");
-        logic.arrived(20_000, job("o", 1, 100));
-        for (int i = 0; i < 3 && out.lines.contains("probe w"); i++) {
-            out.lines.clear();
+        dispatcher.ended(100, outcome("a", 0, "w", Ending.ERROR));
+        actions.lines.clear();
+        dispatcher.clientGone(101, "a");
+        dispatcher.arrived(20_000, job("o", 1, 100));
+        for (int i = 0; i < 3 && actions.lines.contains("probe w"); i++) {
+            actions.lines.clear();
             report(20_001 + 600 * i, 1, 0);
         }
-        logic.timer(22_000, 0);
-        assertThat(out.lines).contains("assign o w");
+        dispatcher.timer(22_000, 0);
+        assertThat(actions.lines).contains("assign o w");
     }
 }
--- a/src/test/java/plumpost/decision/RecordingActions.java
+++ b/src/test/java/plumpost/decision/RecordingActions.java
@@ -3,16 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An {@link Dispatcher.Actions} that writes down what it is asked, a line an action. */
+/** Records each requested action as a line of text, and the times of requested timers. */
 class RecordingActions implements Dispatcher.Actions {
     final List<String> lines = new ArrayList<>();
     final List<Double> timers = new ArrayList<>();
 
-    /** The lines that begin with a word, and forgets all. */
-    List<String> takeStartingWith(String word) {
-        List<String> found = lines.stream().filter(l -> l.startsWith(word)).toList();
+    /** Returns the recorded lines that start with a prefix, and clears all lines. */
+    List<String> takeStartingWith(String prefix) {
+        List<String> matching =
+                lines.stream().filter(line -> line.startsWith(prefix)).toList();
         lines.clear();
-        return found;
+        return matching;
     }
 
     @Override
--- a/src/test/java/plumpost/decision/RulesTest.java
+++ b/src/test/java/plumpost/decision/RulesTest.java
@@ -12,182 +12,191 @@
 import plumpost.decision.Dispatcher.Ending;
 import plumpost.decision.Dispatcher.Phase;
 
-/** Plays seeded random, odd but legal orders of events and checks the four rules on every action. */
+/** Plays seeded random orders of events that a host may send and checks the four rules on every action. */
 class RulesTest {
 
-    private static final class Sent {
+    /** An attempt that the instance started; {@code ending} is null while it is open. */
+    private static final class TrackedAttempt {
         String worker;
-        double at;
+        double sentAt;
         Ending ending;
     }
 
-    private static final class Taken {
-        Dispatcher.JobClass cls;
+    /** A job given to the instance. */
+    private static final class TrackedJob {
+        Dispatcher.JobClass jobClass;
         double deadline;
-        boolean over;
-        final List<Sent> attempts = new ArrayList<>();
+        boolean answered;
+        final List<TrackedAttempt> attempts = new ArrayList<>();
     }
 
-    /** The host's side: checks each action against what the instance has been told. */
-    private static final class Host extends RecordingActions {
-        final TestSettings bench;
-        final Map<String, Taken> taken = new HashMap<>();
-        final Map<String, Dispatcher.WorkerEntry> listed = new HashMap<>();
+    /** A host that checks each action against the events that it has sent. */
+    private static final class CheckingHost extends RecordingActions {
+        final TestSettings settings;
+        final Map<String, TrackedJob> jobs = new HashMap<>();
+        final Map<String, Dispatcher.WorkerEntry> listedWorkers = new HashMap<>();
         final Map<String, Double> coldWork = new HashMap<>();
         final Map<String, Double> costs = new HashMap<>();
         double now;
-        int finals;
+        int finalAnswers;
 
-        Host(TestSettings bench) {
-            this.bench = bench;
+        CheckingHost(TestSettings settings) {
+            this.settings = settings;
         }
 
         @Override
         public void assign(String job, String worker, double timeoutMs) {
-            Taken t = taken.get(job);
-            assertTrue(!t.over, "sent after the end");
-            Dispatcher.WorkerEntry w = listed.get(worker);
-            assertTrue(w != null && w.phase() == Phase.SERVING, "sent to a drained worker");
-            assertTrue(t.attempts.size() < bench.maxAttempts, "too many attempts");
-            for (Sent s : t.attempts) {
-                assertTrue(s.ending != null || bench.parallel, "two attempts at once");
+            TrackedJob tracked = jobs.get(job);
+            assertTrue(!tracked.answered, "assigned after the final answer");
+            Dispatcher.WorkerEntry entry = listedWorkers.get(worker);
+            assertTrue(entry != null && entry.phase() == Phase.SERVING, "assigned to a worker that does not serve");
+            assertTrue(tracked.attempts.size() < settings.maxAttempts, "too many attempts");
+            for (TrackedAttempt attempt : tracked.attempts) {
+                assertTrue(attempt.ending != null || settings.parallelAttempts, "two open attempts of one job");
             }
-            Sent first = t.attempts.stream()
-                    .filter(s -> s.ending == null || !s.ending.neverRan())
+            TrackedAttempt first = tracked.attempts.stream()
+                    .filter(attempt -> attempt.ending == null || !attempt.ending.neverRan())
                     .findFirst()
                     .orElse(null);
-            if (first != null && t.cls.effect() != Dispatcher.Effect.FREE) {
-                assertEquals(Dispatcher.Effect.GUARDED, t.cls.effect(), "a single shot twice");
-                assertTrue(now < first.at + t.cls.windowMs(), "after the window");
-                Dispatcher.WorkerEntry f = allSeen.get(first.worker);
+            if (first != null && tracked.jobClass.effect() != Dispatcher.Effect.FREE) {
+                assertEquals(
+                        Dispatcher.Effect.GUARDED, tracked.jobClass.effect(), "a single-shot job may have run twice");
+                assertTrue(now < first.sentAt + tracked.jobClass.windowMs(), "repeated after the window");
+                Dispatcher.WorkerEntry firstWorker = knownWorkers.get(first.worker);
                 assertTrue(
-                        t.cls.scope() == Dispatcher.Scope.ALL
-                                || t.cls.scope() == Dispatcher.Scope.ZONE && f.zone() == w.zone()
-                                || t.cls.scope() == Dispatcher.Scope.CELL && f.cell() == w.cell(),
-                        "outside the group");
+                        tracked.jobClass.scope() == Dispatcher.Scope.ALL
+                                || tracked.jobClass.scope() == Dispatcher.Scope.ZONE
+                                        && firstWorker.zone() == entry.zone()
+                                || tracked.jobClass.scope() == Dispatcher.Scope.CELL
+                                        && firstWorker.cell() == entry.cell(),
+                        "repeated outside the group");
             }
-            if (w.cameUpMs() > 0 && now - w.cameUpMs() < 2000) {
-                coldWork.merge(worker + w.cameUpMs(), costs.get(job), Double::sum);
+            if (entry.cameUpMs() > 0 && now - entry.cameUpMs() < 2000) {
+                coldWork.merge(worker + entry.cameUpMs(), costs.get(job), Double::sum);
             }
-            Sent s = new Sent();
-            s.worker = worker;
-            s.at = now;
-            t.attempts.add(s);
+            TrackedAttempt attempt = new TrackedAttempt();
+            attempt.worker = worker;
+            attempt.sentAt = now;
+            tracked.attempts.add(attempt);
         }
 
-        final Map<String, Dispatcher.WorkerEntry> allSeen = new HashMap<>();
+        final Map<String, Dispatcher.WorkerEntry> knownWorkers = new HashMap<>();
 
         @Override
         public void refuse(String job, double retryAfterMs) {
-            Taken t = taken.get(job);
-            boolean mayHaveRun = t.attempts.stream().anyMatch(s -> s.ending == null || !s.ending.neverRan());
+            TrackedJob tracked = jobs.get(job);
+            boolean mayHaveRun =
+                    tracked.attempts.stream().anyMatch(attempt -> attempt.ending == null || !attempt.ending.neverRan());
             assertTrue(
                     !mayHaveRun
-                            || t.cls.effect() == Dispatcher.Effect.FREE
-                            || t.cls.effect() == Dispatcher.Effect.GUARDED && t.cls.scope() == Dispatcher.Scope.ALL,
-                    "refused");
-            end(job);
+                            || tracked.jobClass.effect() == Dispatcher.Effect.FREE
+                            || tracked.jobClass.effect() == Dispatcher.Effect.GUARDED
+                                    && tracked.jobClass.scope() == Dispatcher.Scope.ALL,
+                    "refused although it may have run");
+            recordFinalAnswer(job);
         }
 
         @Override
         public void fail(String job) {
-            end(job);
+            recordFinalAnswer(job);
         }
 
-        private void end(String job) {
-            Taken t = taken.get(job);
-            assertTrue(!t.over, "two final answers");
-            assertTrue(now <= t.deadline + 8, "answered late");
-            t.over = true;
-            finals++;
+        private void recordFinalAnswer(String job) {
+            TrackedJob tracked = jobs.get(job);
+            assertTrue(!tracked.answered, "two final answers");
+            assertTrue(now <= tracked.deadline + 8, "answered after the deadline");
+            tracked.answered = true;
+            finalAnswers++;
         }
 
         @Override
         public void cancel(String job, int attempt) {
-            assertTrue(attempt < taken.get(job).attempts.size(), "cancelled what was never sent");
+            assertTrue(attempt < jobs.get(job).attempts.size(), "cancelled an attempt that was never started");
         }
     }
 
-    private void play(long seed) {
+    /** Plays 400 random steps with random settings, then checks the answers and the work sent to cold workers. */
+    private void playRandomEvents(long seed) {
         Random random = new Random(seed);
-        TestSettings bench = new TestSettings();
-        bench.parallel = random.nextBoolean();
-        bench.onRequest = random.nextBoolean();
-        bench.tellsStart = random.nextInt(4) > 0;
-        bench.peers = random.nextBoolean();
-        bench.balancers = 1 + random.nextInt(50);
-        bench.reports = Dispatcher.Reports.values()[random.nextInt(3)];
-        Host host = new Host(bench);
-        Logic logic = new Logic(bench.settings(), seed, host);
+        TestSettings settings = new TestSettings();
+        settings.parallelAttempts = random.nextBoolean();
+        settings.listOnRequest = random.nextBoolean();
+        settings.tellsStart = random.nextInt(4) > 0;
+        settings.peers = random.nextBoolean();
+        settings.balancers = 1 + random.nextInt(50);
+        settings.reports = Dispatcher.Reports.values()[random.nextInt(3)];
+        CheckingHost host = new CheckingHost(settings);
+        Logic logic = new Logic(settings.settings(), seed, host);
         logic.workers(0, Dispatcher.ListMode.SAVED, List.of());
         double clock = 1;
         for (int step = 0; step < 400; step++) {
             clock += random.nextInt(5) == 0 ? random.nextInt(1500) : random.nextInt(10);
-            // every timer that is due comes before later events, within the shortest gap between batches
+            // Due timers are delivered before later events, within the simulator's shortest gap between batches.
             while (true) {
-                double due = host.timers.stream().mapToDouble(d -> d).min().orElse(1e12);
-                if (due > clock) {
+                double dueAt = host.timers.stream().mapToDouble(d -> d).min().orElse(1e12);
+                if (dueAt > clock) {
                     break;
                 }
-                host.timers.remove(due);
-                host.now = Math.max(host.now, due);
+                host.timers.remove(dueAt);
+                host.now = Math.max(host.now, dueAt);
                 logic.timer(host.now, 0);
-                expire(host, logic);
+                timeOutAttempts(host, logic);
             }
             host.now = clock;
-            expire(host, logic);
-            act(random, host, logic, step);
+            timeOutAttempts(host, logic);
+            playRandomEvent(random, host, logic, step);
         }
-        // let time run out: everything taken gets its answer
+        // Deliver the remaining timers: every job must get its final answer.
         for (int i = 0; i < 20_000 && !host.timers.isEmpty(); i++) {
-            double due = host.timers.stream().mapToDouble(d -> d).min().orElseThrow();
-            if (due > clock + 40_000) {
+            double dueAt = host.timers.stream().mapToDouble(d -> d).min().orElseThrow();
+            if (dueAt > clock + 40_000) {
                 break;
             }
-            host.timers.remove(due);
-            host.now = Math.max(host.now, due);
+            host.timers.remove(dueAt);
+            host.now = Math.max(host.now, dueAt);
             logic.timer(host.now, 0);
         }
-        host.taken.forEach((id, t) -> assertTrue(t.over, id + " got no final answer, seed " + seed));
-        host.coldWork.forEach((w, work) -> assertTrue(
-                work <= Math.max(120, 3 * 0.36 * 2 * 2 * 2000.0 / bench.balancers), w + " was sent " + work));
+        host.jobs.forEach((id, tracked) -> assertTrue(tracked.answered, id + " got no final answer, seed " + seed));
+        host.coldWork.forEach((worker, work) -> assertTrue(
+                work <= Math.max(120, 3 * 0.36 * 2 * 2 * 2000.0 / settings.balancers), worker + " was sent " + work));
     }
 
-    /** Attempts out at the client's end time out, as on the wire. */
-    private void expire(Host host, Logic logic) {
-        for (Map.Entry<String, Taken> e : host.taken.entrySet()) {
-            Taken t = e.getValue();
-            if (host.now >= t.deadline) {
-                for (int i = 0; i < t.attempts.size(); i++) {
-                    Sent s = t.attempts.get(i);
-                    if (s.ending == null) {
-                        s.ending = Ending.TIMEOUT;
+    /** Ends attempts that are open at the client's deadline with a timeout, as the simulator does. */
+    private void timeOutAttempts(CheckingHost host, Logic logic) {
+        for (Map.Entry<String, TrackedJob> entry : host.jobs.entrySet()) {
+            TrackedJob tracked = entry.getValue();
+            if (host.now >= tracked.deadline) {
+                for (int i = 0; i < tracked.attempts.size(); i++) {
+                    TrackedAttempt attempt = tracked.attempts.get(i);
+                    if (attempt.ending == null) {
+                        attempt.ending = Ending.TIMEOUT;
                         logic.ended(
                                 host.now,
-                                new Dispatcher.Outcome(e.getKey(), i, s.worker, Ending.TIMEOUT, 1, t.over, null));
+                                new Dispatcher.Outcome(
+                                        entry.getKey(), i, attempt.worker, Ending.TIMEOUT, 1, tracked.answered, null));
                     }
                 }
             }
         }
     }
 
-    private void act(Random random, Host host, Logic logic, int step) {
+    private void playRandomEvent(Random random, CheckingHost host, Logic logic, int step) {
         switch (random.nextInt(8)) {
             case 0, 1 -> {
                 String id = "job" + step;
-                Taken t = new Taken();
-                int cls = random.nextInt(host.bench.classes.size());
-                t.cls = host.bench.classes.get(cls);
+                TrackedJob tracked = new TrackedJob();
+                int classIndex = random.nextInt(host.settings.classes.size());
+                tracked.jobClass = host.settings.classes.get(classIndex);
                 double patience = 20 + random.nextInt(5000);
-                t.deadline = host.now + patience;
+                tracked.deadline = host.now + patience;
                 double cost = random.nextInt(5) == 0 ? Double.NaN : 1 + random.nextInt(100);
-                host.taken.put(id, t);
+                host.jobs.put(id, tracked);
                 host.costs.put(id, Double.isNaN(cost) ? 50 : cost);
                 logic.arrived(
                         host.now,
                         new Dispatcher.Job(
                                 id,
-                                cls,
+                                classIndex,
                                 0,
                                 null,
                                 patience,
@@ -200,26 +209,26 @@
                 List<Dispatcher.WorkerEntry> lines = new ArrayList<>();
                 boolean full = random.nextBoolean();
                 if (full) {
-                    host.listed.clear();
+                    host.listedWorkers.clear();
                 }
                 for (int i = random.nextInt(4); i >= 0; i--) {
                     String id = "w" + random.nextInt(6);
-                    Dispatcher.WorkerEntry old = host.allSeen.get(id);
+                    Dispatcher.WorkerEntry old = host.knownWorkers.get(id);
                     Phase phase = random.nextInt(4) == 0 ? Phase.values()[1 + random.nextInt(2)] : Phase.SERVING;
-                    double up = old == null
+                    double cameUpMs = old == null
                             ? random.nextBoolean() ? host.now : 0
                             : random.nextInt(6) == 0 ? host.now : old.cameUpMs();
-                    Dispatcher.WorkerEntry e = new Dispatcher.WorkerEntry(
-                            id, id.hashCode() % 2, id.hashCode() % 2, id.hashCode() % 3, phase, 1, up);
+                    Dispatcher.WorkerEntry entry = new Dispatcher.WorkerEntry(
+                            id, id.hashCode() % 2, id.hashCode() % 2, id.hashCode() % 3, phase, 1, cameUpMs);
                     lines.removeIf(l -> l.id().equals(id));
-                    lines.add(e);
-                    host.allSeen.put(id, e);
-                    host.listed.put(id, e);
+                    lines.add(entry);
+                    host.knownWorkers.put(id, entry);
+                    host.listedWorkers.put(id, entry);
                 }
                 logic.workers(host.now, full ? Dispatcher.ListMode.FULL : Dispatcher.ListMode.INCREMENTAL, lines);
             }
             case 3 -> {
-                if (host.bench.onRequest) {
+                if (host.settings.listOnRequest) {
                     logic.workers(host.now, Dispatcher.ListMode.FAILED, List.of());
                 }
                 logic.peerMessage(host.now, 1, new byte[random.nextInt(40)]);
@@ -235,24 +244,27 @@
                                 : new Dispatcher.LoadReport(
                                         random.nextInt(9), Double.NaN, 30, 0, random.nextInt(4), Double.NaN));
             case 5 ->
-                outs(random, host).ifPresent(id -> {
-                    Taken t = host.taken.get(id);
-                    int i = t.attempts.size() - 1;
-                    logic.started(host.now, id, i, t.attempts.get(i).worker);
+                randomJobWithOpenAttempt(random, host).ifPresent(id -> {
+                    TrackedJob tracked = host.jobs.get(id);
+                    int attemptIndex = tracked.attempts.size() - 1;
+                    logic.started(host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker);
                     if (random.nextBoolean()) {
-                        logic.progressed(host.now, id, i, t.attempts.get(i).worker, 0.5);
+                        logic.progressed(host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker, 0.5);
                     }
                 });
             case 6 ->
-                outs(random, host).ifPresent(id -> {
-                    Taken t = host.taken.get(id);
-                    int i = random.nextInt(t.attempts.size());
-                    Sent s = t.attempts.get(i);
-                    if (s.ending == null) {
-                        s.ending = Ending.values()[random.nextInt(Ending.values().length)];
-                        boolean ok = s.ending == Ending.OK && !t.over;
-                        t.over |= ok;
-                        logic.ended(host.now, new Dispatcher.Outcome(id, i, s.worker, s.ending, 1, t.over, null));
+                randomJobWithOpenAttempt(random, host).ifPresent(id -> {
+                    TrackedJob tracked = host.jobs.get(id);
+                    int attemptIndex = random.nextInt(tracked.attempts.size());
+                    TrackedAttempt attempt = tracked.attempts.get(attemptIndex);
+                    if (attempt.ending == null) {
+                        attempt.ending = Ending.values()[random.nextInt(Ending.values().length)];
+                        boolean ok = attempt.ending == Ending.OK && !tracked.answered;
+                        tracked.answered |= ok;
+                        logic.ended(
+                                host.now,
+                                new Dispatcher.Outcome(
+                                        id, attemptIndex, attempt.worker, attempt.ending, 1, tracked.answered, null));
                         if (ok && random.nextInt(4) == 0) {
                             logic.clientGone(host.now, id);
                         }
@@ -267,9 +279,9 @@
         }
     }
 
-    private java.util.Optional<String> outs(Random random, Host host) {
-        List<String> open = host.taken.entrySet().stream()
-                .filter(e -> e.getValue().attempts.stream().anyMatch(s -> s.ending == null))
+    private java.util.Optional<String> randomJobWithOpenAttempt(Random random, CheckingHost host) {
+        List<String> open = host.jobs.entrySet().stream()
+                .filter(entry -> entry.getValue().attempts.stream().anyMatch(attempt -> attempt.ending == null))
                 .map(Map.Entry::getKey)
                 .sorted()
                 .toList();
@@ -279,9 +291,9 @@
     }
 
     @Test
-    void theRulesHoldInOddOrders() {
+    void rulesHoldForRandomOrdersOfEvents() {
         for (long seed = 0; seed < 400; seed++) {
-            play(seed);
+            playRandomEvents(seed);
         }
     }
 }
