--- a/src/main/java/plumpost/decision/Dispatcher.java
+++ b/src/main/java/plumpost/decision/Dispatcher.java
@@ -214,14 +214,14 @@
      * @param costMs estimated run time, or NaN if unknown
      * @param slots slots that the job occupies on its worker
      * @param memory memory that the job needs, or NaN if unknown
-     * @param work the kind of work: the index of the class, or a number above all classes for work that only the workers
-     *     that name it run
+     * @param workKind the kind of work: the index of the class, or a number above all classes for work that only those
+     *     workers run that name it
      * @param priority above 0 goes before jobs of the same age, below 0 after them
      * @param aimMs time from now within which the answer is wanted, or NaN if the class determines it
      */
     record Job(
             String id,
-            int cls,
+            int classIndex,
             int tenant,
             String key,
             double patienceMs,
@@ -229,13 +229,13 @@
             double slots,
             double memory,
             boolean retry,
-            int work,
+            int workKind,
             int priority,
             double aimMs) {
         /** Creates a job of its class's own work, with default priority and target time. */
         public Job(
                 String id,
-                int cls,
+                int classIndex,
                 int tenant,
                 String key,
                 double patienceMs,
@@ -243,7 +243,7 @@
                 double slots,
                 double memory,
                 boolean retry) {
-            this(id, cls, tenant, key, patienceMs, costMs, slots, memory, retry, cls, 0, Double.NaN);
+            this(id, classIndex, tenant, key, patienceMs, costMs, slots, memory, retry, classIndex, 0, Double.NaN);
         }
     }
 
@@ -251,9 +251,15 @@
     record LoadReport(
             double inflight, double queue, double latencyMs, double errorsPerS, double freeSlots, double freeMemory) {}
 
-    /** How an attempt ended; {@code over} if the client needs no further answer. */
+    /** How an attempt ended; {@code requestDone} if the client needs no further answer. */
     record Outcome(
-            String job, int attempt, String worker, Ending ending, double waitMs, boolean over, LoadReport report) {}
+            String job,
+            int attempt,
+            String worker,
+            Ending ending,
+            double waitMs,
+            boolean requestDone,
+            LoadReport report) {}
 
     /** Handles a change or a complete list of the workers, or a failed list call. */
     void workers(double now, ListMode mode, List<WorkerEntry> entries);
--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -135,9 +135,9 @@
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(seed);
-        Arrays.setAll(workerKinds = new WorkerKind[settings.kinds()], k -> new WorkerKind());
+        Arrays.setAll(workerKinds = new WorkerKind[settings.kinds()], kind -> new WorkerKind());
         lateStartShare = new double[settings.zones()];
-        Arrays.setAll(startDelayMs = new double[settings.zones()], z -> z == settings.zone() ? 20 : 60);
+        Arrays.setAll(startDelayMs = new double[settings.zones()], zone -> zone == settings.zone() ? 20 : 60);
         probesEnabled = settings.reports() == Reports.PULL && settings.limits().probes();
         maxImportance = settings.classes().stream()
                 .mapToDouble(JobClass::importance)
@@ -261,7 +261,7 @@
             if (mode != ListMode.INCREMENTAL) workersById.values().forEach(worker -> worker.phase = Phase.DELETED);
             entries.forEach(this::updateWorker);
             if (mode == ListMode.INCREMENTAL) {
-                entries.forEach(e -> updateSharedWorkers(workersById.get(e.id())));
+                entries.forEach(entry -> updateSharedWorkers(workersById.get(entry.id())));
             } else {
                 sharedWorkers.clear();
                 workersById.values().forEach(worker -> {
@@ -322,14 +322,15 @@
     @Override
     public void arrived(double eventTime, Job job) {
         now = eventTime;
-        JobClass jobClass = settings.classes().get(job.cls());
+        JobClass jobClass = settings.classes().get(job.classIndex());
         double costMs = Double.isNaN(job.costMs()) ? medianCostHint() : Math.max(1, job.costMs());
         if (!Double.isNaN(job.costMs())) costHints[costHintCount++ % costHints.length] = costMs;
         meanCostMs += (costMs - meanCostMs) * (meanCostMs == 0 ? 1 : 0.05);
         // A client's repeat has less patience left than a first try: its target time counts from the first try.
-        if (job.cls() >= maxPatienceMs.length) maxPatienceMs = Arrays.copyOf(maxPatienceMs, job.cls() + 1);
-        maxPatienceMs[job.cls()] = Math.max(maxPatienceMs[job.cls()], job.patienceMs());
-        boolean laterTry = job.patienceMs() < maxPatienceMs[job.cls()] - 1;
+        if (job.classIndex() >= maxPatienceMs.length)
+            maxPatienceMs = Arrays.copyOf(maxPatienceMs, job.classIndex() + 1);
+        maxPatienceMs[job.classIndex()] = Math.max(maxPatienceMs[job.classIndex()], job.patienceMs());
+        boolean laterTry = job.patienceMs() < maxPatienceMs[job.classIndex()] - 1;
         double ageMs = laterTry ? Math.max(0, jobClass.deadlineMs() - job.patienceMs()) : 0;
         Request request = new Request();
         request.job = job;
@@ -431,7 +432,7 @@
         markFree(worker);
         recordEnding(request, attempt, worker, started);
         if (outcome.report() != null) applyReport(worker, outcome.report());
-        if (outcome.over() || request.done) forget(request);
+        if (outcome.requestDone() || request.done) forget(request);
         else if (request.openAttempts == 0) retryOrFinish(request);
         assignHeldJobs();
         runDueTasks();
@@ -497,7 +498,7 @@
     }
 
     private void enqueue(Request request) {
-        WorkQueue queue = queueFor(request.job.work());
+        WorkQueue queue = queueFor(request.job.workKind());
         queue.held.add(request);
         activeQueues.add(queue);
         if (isWorthless(request)) worthlessRequests.add(request);
@@ -521,7 +522,7 @@
     }
 
     private WorkQueue queueFor(int work) {
-        return queues.computeIfAbsent(work, k -> new WorkQueue());
+        return queues.computeIfAbsent(work, key -> new WorkQueue());
     }
 
     /** Lists a serving worker that has a free known slot for each kind of its work, the one freed last first. */
@@ -530,18 +531,18 @@
         markBusy(worker);
         if (worker.phase == Phase.SERVING && worker.ownSlots < worker.knownSlots) {
             worker.freeKey = ++nextSequence;
-            for (int k = worker.workKinds.nextSetBit(0); k >= 0; k = worker.workKinds.nextSetBit(k + 1)) {
-                queueFor(k).freeWorkers.put(worker.freeKey, worker);
+            for (int work = worker.workKinds.nextSetBit(0); work >= 0; work = worker.workKinds.nextSetBit(work + 1)) {
+                queueFor(work).freeWorkers.put(worker.freeKey, worker);
             }
         }
     }
 
     /** Removes a worker from the free workers of all its kinds of work. */
     private void markBusy(Worker worker) {
-        for (int k = worker.freeKey == 0 ? -1 : worker.workKinds.nextSetBit(0);
-                k >= 0;
-                k = worker.workKinds.nextSetBit(k + 1)) {
-            queueFor(k).freeWorkers.remove(worker.freeKey);
+        for (int work = worker.freeKey == 0 ? -1 : worker.workKinds.nextSetBit(0);
+                work >= 0;
+                work = worker.workKinds.nextSetBit(work + 1)) {
+            queueFor(work).freeWorkers.remove(worker.freeKey);
         }
         worker.freeKey = 0;
     }
@@ -672,8 +673,8 @@
 
     private boolean runsWork(Request request, Worker worker) {
         return worker.workKinds == null
-                ? request.job.work() < settings.classes().size()
-                : worker.workKinds.get(request.job.work());
+                ? request.job.workKind() < settings.classes().size()
+                : worker.workKinds.get(request.job.workKind());
     }
 
     /** True while a job must find fresh evidence of a free slot before the default slot limit applies. */
@@ -943,7 +944,7 @@
     /** Drops a job that is owed no answer; it stays known while attempts are open. */
     private void forget(Request request) {
         request.done = true;
-        if (request.held) queueFor(request.job.work()).held.remove(request);
+        if (request.held) queueFor(request.job.workKind()).held.remove(request);
         worthlessRequests.remove(request);
         if (++forgottenSincePurge > 1024 + tasks.size() / 2) {
             tasks.removeIf(
