--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -23,7 +23,7 @@
 public final class Logic implements Dispatcher {
     // Slots that a worker is assumed to have while nothing is known of it: DAS(2).
     static final double DEFAULT_SLOT_LIMIT = 2;
-    // A held job's estimate counts half as much after each period, without steps.
+    // Waiting for this long lowers a held job's sort key as much as half the cost estimate would.
     static final double AGING_HALF_LIFE_MS = 100;
     // In mean run times: after that the jobs behind an observation have ended.
     static final double EVIDENCE_LIFETIME_RUNS = 1.5;
@@ -35,9 +35,9 @@
     static final double SLOT_GAIN = 0.1;
     // Workers drawn at random for each probe; the one with the lowest placement cost is probed.
     static final int CANDIDATES_PER_PROBE = 6;
-    // Times to the job's target time that a full fee is worth.
+    // A fee of 1 counts as much as this many times the time left to the job's target.
     static final double FEE_WEIGHT = 3;
-    // Parts of a cold worker's budget that are planned, by amount of work and by number of jobs.
+    // Parts of a cold worker's budget that are used, by amount of work and by number of jobs.
     static final double COLD_WORK_SHARE = 0.4;
     static final double COLD_JOB_SHARE = 0.6;
     // An ejection doubles with each recent failure of the worker, up to the maximum.
