--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -23,7 +23,7 @@
 public final class Logic implements Dispatcher {
     // Slots that a worker is assumed to have while nothing is known of it: DAS(2).
     static final double DEFAULT_SLOT_LIMIT = 2;
-    // Waiting for this long lowers a held job's sort key as much as half the cost estimate would.
+    // Arriving this much earlier counts as much in a job's sort key as half the cost estimate.
     static final double AGING_HALF_LIFE_MS = 100;
     // In mean run times: after that the jobs behind an observation have ended.
     static final double EVIDENCE_LIFETIME_RUNS = 1.5;
