--- a/src/main/java/plumpost/cli/FleetCommands.java
+++ b/src/main/java/plumpost/cli/FleetCommands.java
@@ -31,23 +31,23 @@
         options.addOption("h", "help", false, "tells this");
         try {
             CommandLine line = new DefaultParser().parse(options, args);
-            List<String> words = line.getArgList();
+            List<String> arguments = line.getArgList();
             if (line.hasOption("help")) {
                 new HelpFormatter().printHelp(USAGE, options);
                 return 0;
             }
-            String command = words.isEmpty() ? "" : words.get(0);
+            String command = arguments.isEmpty() ? "" : arguments.get(0);
             boolean known = command.equals("show")
-                    ? words.size() == 1
-                    : Arrays.asList("yield", "remove").contains(command) && words.size() == 2;
+                    ? arguments.size() == 1
+                    : Arrays.asList("yield", "remove").contains(command) && arguments.size() == 2;
             if (!known) {
                 throw new ParseException("usage: " + USAGE);
             }
-            NodeConfig config = NodeConfig.read(Serve.file(line.getOptionValue("config")), System.getenv());
+            NodeConfig config = NodeConfig.read(Serve.configPath(line.getOptionValue("config")), System.getenv());
             PeersConfig peers = PeersConfig.of(config);
             LinesProvider.begin("fleet", false);
-            String answer = Peers.maker().call(peers, command, words.size() > 1 ? words.get(1) : "");
-            out.println(command.equals("show") && !line.hasOption("json") ? page(answer) : answer);
+            String answer = Peers.maker().call(peers, command, arguments.size() > 1 ? arguments.get(1) : "");
+            out.println(command.equals("show") && !line.hasOption("json") ? text(answer) : answer);
             return 0;
         } catch (ParseException | BadInput e) {
             err.println("plumpost: " + e.getMessage());
@@ -56,32 +56,33 @@
     }
 
     /** The page as a person reads it. */
-    private static String page(String json) {
-        Fields f = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8));
-        StringBuilder all =
-                new StringBuilder("leader " + f.text("leader") + ", record format " + f.whole("format") + "\n\n");
-        all.append(String.format("%-20s %-9s %12s  %-12s %s%n", "member", "state", "incarnation", "site", "vote"));
-        for (Object o : f.list("members")) {
-            Fields m = Json.fields("members", o);
-            all.append(String.format(
+    private static String text(String json) {
+        Fields report = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8));
+        StringBuilder text = new StringBuilder(
+                "leader " + report.text("leader") + ", record format " + report.whole("format") + "\n\n");
+        text.append(String.format("%-20s %-9s %12s  %-12s %s%n", "member", "state", "incarnation", "site", "vote"));
+        for (Object item : report.list("members")) {
+            Fields member = Json.fields("members", item);
+            text.append(String.format(
                     "%-20s %-9s %12d  %-12s %s%n",
-                    m.text("name"),
-                    m.text("state"),
-                    m.longWhole("incarnation"),
-                    m.text("site"),
-                    m.flag("vote", false) ? "yes" : "no"));
+                    member.text("name"),
+                    member.text("state"),
+                    member.longWhole("incarnation"),
+                    member.text("site"),
+                    member.flag("vote", false) ? "yes" : "no"));
         }
-        all.append(String.format("%n%-28s %-20s %8s  %s%n", "duty", "owner", "fence", "site"));
-        for (Object o : f.list("duties")) {
-            Fields d = Json.fields("duties", o);
-            all.append(String.format(
-                    "%-28s %-20s %8d  %s%n", d.text("name"), d.text("owner"), d.longWhole("fence"), d.text("site")));
+        text.append(String.format("%n%-28s %-20s %8s  %s%n", "duty", "owner", "fence", "site"));
+        for (Object item : report.list("duties")) {
+            Fields duty = Json.fields("duties", item);
+            text.append(String.format(
+                    "%-28s %-20s %8d  %s%n",
+                    duty.text("name"), duty.text("owner"), duty.longWhole("fence"), duty.text("site")));
         }
-        Map<String, Object> s = f.object("schedule").map();
-        all.append("\noffline by hand: ")
-                .append(f.list("offline").isEmpty() ? "none" : f.list("offline"))
+        Map<String, Object> schedule = report.object("schedule").map();
+        text.append("\noffline by hand: ")
+                .append(report.list("offline").isEmpty() ? "none" : report.list("offline"))
                 .append("\nschedule: ")
-                .append(s);
-        return all.toString();
+                .append(schedule);
+        return text.toString();
     }
 }
--- a/src/main/java/plumpost/cli/FleetHost.java
+++ b/src/main/java/plumpost/cli/FleetHost.java
@@ -17,51 +17,52 @@
 
 /** What the fleet asks of this scheduler, carried out by its core and its fronts. */
 final class FleetHost implements Host {
-    private final DispatchCore room;
+    private final DispatchCore core;
     private final Platform platform;
     private final GearmanFront gearman;
 
     /** A host; {@code gearman} may be null. */
-    FleetHost(DispatchCore room, Platform platform, GearmanFront gearman) {
-        this.room = room;
+    FleetHost(DispatchCore core, Platform platform, GearmanFront gearman) {
+        this.core = core;
         this.platform = platform;
         this.gearman = gearman;
     }
 
     /** Makes this scheduler's part in its fleet and joins it to the core and the fronts. */
-    static Fleet begin(
+    static Fleet joinFleet(
             NodeConfig config,
             String data,
-            DispatchCore room,
+            DispatchCore core,
             Platform platform,
             GearmanFront gearman,
-            ControlOperations console,
-            LoopContext kit,
+            ControlOperations controlOperations,
+            LoopContext context,
             SelectorLoop loop) {
         PeersConfig peers = PeersConfig.read(config.peers(), config.name(), data, config.discovery() != null);
-        List<String> classes =
-                config.settings().classes().stream().map(c -> c.name()).toList();
-        peers.covered().classes().forEach(c -> {
-            if (!classes.contains(c)) {
+        List<String> classes = config.settings().classes().stream()
+                .map(jobClass -> jobClass.name())
+                .toList();
+        peers.covered().classes().forEach(jobClass -> {
+            if (!classes.contains(jobClass)) {
                 throw new BadInput(
-                        "configuration: peers: field covers names " + c + ", not one of the classes " + classes);
+                        "configuration: peers: field covers names " + jobClass + ", not one of the classes " + classes);
             }
         });
         if (gearman == null && !peers.covered().classes().isEmpty()) {
             throw new BadInput("configuration: peers: field covers needs the section gearman");
         }
-        Fleet made = Peers.maker().make(peers, new FleetHost(room, platform, gearman), kit, loop::onLoop);
-        console.in(made);
+        Fleet fleet = Peers.maker().make(peers, new FleetHost(core, platform, gearman), context, loop::onLoop);
+        controlOperations.joinFleet(fleet);
         if (gearman != null) {
-            gearman.in(made);
+            gearman.in(fleet);
         }
-        platform.in(made::heard);
-        return made;
+        platform.in(fleet::heard);
+        return fleet;
     }
 
     @Override
     public void banned(String node, boolean out) {
-        room.banned(node, out);
+        core.banned(node, out);
     }
 
     @Override
--- a/src/main/java/plumpost/cli/Main.java
+++ b/src/main/java/plumpost/cli/Main.java
@@ -28,8 +28,8 @@
 
     /** The version that the build has written into the jar. */
     static String version() {
-        String v = Main.class.getPackage().getImplementationVersion();
-        return v == null ? "unbuilt" : v;
+        String version = Main.class.getPackage().getImplementationVersion();
+        return version == null ? "unbuilt" : version;
     }
 
     static int run(String[] args, PrintStream out, PrintStream err) throws IOException {
@@ -51,21 +51,22 @@
             }
             switch (args.length == 0 ? "" : args[0]) {
                 case "serve" -> {
-                    return new Serve(Serve.file(line.getOptionValue("config")), line.getOptionValue("data")).run();
+                    return new Serve(Serve.configPath(line.getOptionValue("config")), line.getOptionValue("data"))
+                            .run();
                 }
                 case "rehearse" -> {
-                    return new Serve(Serve.file(line.getOptionValue("config")), null).rehearse();
+                    return new Serve(Serve.configPath(line.getOptionValue("config")), null).rehearse();
                 }
                 case "check" -> {
-                    Json.Fields file = NodeConfig.parse(Serve.file(line.getOptionValue("config")));
-                    NodeConfig c = NodeConfig.from(file, System.getenv());
-                    if (!file.passedOver().isEmpty()) {
-                        throw new BadInput(file.passedOver().get(0)); // it would serve all the same
+                    Json.Fields file = NodeConfig.parse(Serve.configPath(line.getOptionValue("config")));
+                    NodeConfig config = NodeConfig.from(file, System.getenv());
+                    if (!file.ignored().isEmpty()) {
+                        throw new BadInput(file.ignored().get(0)); // it would serve all the same
                     }
-                    if (c.peers() != null) {
-                        PeersConfig.read(c.peers(), c.name(), null, c.discovery() != null);
+                    if (config.peers() != null) {
+                        PeersConfig.read(config.peers(), config.name(), null, config.discovery() != null);
                     }
-                    out.println("configuration of " + c.name() + " is in order");
+                    out.println("configuration of " + config.name() + " is in order");
                 }
                 case "benchlink" -> {
                     return new WireHost(System.in, out, err).run();
--- a/src/main/java/plumpost/cli/Signals.java
+++ b/src/main/java/plumpost/cli/Signals.java
@@ -16,13 +16,13 @@
      * than a shutdown hook, for which the JVM starts two threads, one after the other. Reached by reflection:
      * the compiler warns of {@code sun.misc.Signal} in a way that no annotation stops, and warnings are errors here.
      */
-    static void on(String name, Runnable what) {
+    static void handle(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object handles = Proxy.newProxyInstance(
                     handler.getClassLoader(), new Class<?>[] {handler}, (self, method, arguments) -> {
-                        what.run();
+                        action.run();
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
--- a/src/main/java/plumpost/config/GearmanConfig.java
+++ b/src/main/java/plumpost/config/GearmanConfig.java
@@ -77,92 +77,94 @@
     }
 
     /** Reads the section {@code gearman}; null where it names no address. */
-    static GearmanConfig read(Fields f, Fields settings) {
-        f.only("listen", "plant", "model", "functions", "backgroundMs", "returnMs", "grabHoldMs", "admin", "limits");
-        String listen = f.text("listen", "");
+    static GearmanConfig read(Fields section, Fields settings) {
+        section.allowOnly(
+                "listen", "plant", "model", "functions", "backgroundMs", "returnMs", "grabHoldMs", "admin", "limits");
+        String listen = section.text("listen", "");
         if (listen.isEmpty()) {
             return null;
         }
         List<String> classes = new ArrayList<>();
-        for (Object o : settings.list("classes")) {
-            classes.add(Json.fields("config.classes", o).text("name", "class " + classes.size()));
+        for (Object item : settings.list("classes")) {
+            classes.add(Json.fields("config.classes", item).text("name", "class " + classes.size()));
         }
         List<Rule> rules = new ArrayList<>();
-        for (Object o : f.listOrEmpty("functions")) {
-            Fields r = Json.fields(f.where() + ".functions[" + rules.size() + "]", o);
-            r.only("match", "class");
-            rules.add(new Rule(glob(r, r.text("match")), index(classes, r, "class", r.text("class"))));
+        for (Object item : section.listOrEmpty("functions")) {
+            Fields rule = Json.fields(section.where() + ".functions[" + rules.size() + "]", item);
+            rule.allowOnly("match", "class");
+            rules.add(new Rule(
+                    globPattern(rule, rule.text("match")), requiredIndex(classes, rule, "class", rule.text("class"))));
         }
         Set<String> allowed = new java.util.HashSet<>();
-        Fields admin = f.objectOrEmpty("admin");
-        admin.only(HARMFUL.toArray(String[]::new));
-        for (String line : HARMFUL) {
-            if (admin.flag(line, false)) {
-                allowed.add(line);
+        Fields admin = section.objectOrEmpty("admin");
+        admin.allowOnly(HARMFUL.toArray(String[]::new));
+        for (String command : HARMFUL) {
+            if (admin.flag(command, false)) {
+                allowed.add(command);
             }
         }
         return new GearmanConfig(
-                NodeListReader.address(f.where() + ".listen", listen),
-                place(settings.listOrEmpty("dcs"), f, "plant"),
-                place(settings.listOrEmpty("shapes"), f, "model"),
+                NodeListReader.address(section.where() + ".listen", listen),
+                optionalIndex(settings.listOrEmpty("dcs"), section, "plant"),
+                optionalIndex(settings.listOrEmpty("shapes"), section, "model"),
                 List.copyOf(rules),
-                f.between("backgroundMs", 3_600_000, 1, 7 * 86_400_000.0),
-                f.between("returnMs", 30_000, 0, 3_600_000),
-                f.between("grabHoldMs", 10, 0, 1000),
+                section.numberInRange("backgroundMs", 3_600_000, 1, 7 * 86_400_000.0),
+                section.numberInRange("returnMs", 30_000, 0, 3_600_000),
+                section.numberInRange("grabHoldMs", 10, 0, 1000),
                 Set.copyOf(allowed),
-                limits(f.objectOrEmpty("limits")));
+                limits(section.objectOrEmpty("limits")));
     }
 
-    private static Limits limits(Fields f) {
-        Limits u = Limits.USUAL;
-        Map<String, Long> v = new LinkedHashMap<>();
-        v.put("packetBytes", f.whole("packetBytes", u.packetBytes, 1024, 64 << 20));
-        v.put("readingBytes", f.whole("readingBytes", u.readingBytes, 65_536, 1L << 32));
-        v.put("connections", f.whole("connections", u.connections, 0, 60_000));
-        v.put("functions", f.whole("functions", u.functions, 1, 65_536));
-        v.put("queue", f.whole("queue", u.queue, 0, 10_000_000));
-        v.put("jobsPerClient", f.whole("jobsPerClient", u.jobsPerClient, 1, 10_000_000));
-        v.put("scheduled", f.whole("scheduled", u.scheduled, 0, 1_000_000));
-        v.put("scheduledBytes", f.whole("scheduledBytes", u.scheduledBytes, 0, 1L << 32));
-        v.put("openJobs", f.whole("openJobs", u.openJobs, 0, 10_000_000));
-        v.put("jobBytes", f.whole("jobBytes", u.jobBytes, 0, 1L << 36));
-        v.put("keptOutcomes", f.whole("keptOutcomes", u.keptOutcomes, 0, 10_000_000));
-        f.only(v.keySet().toArray(String[]::new));
+    private static Limits limits(Fields section) {
+        Limits defaults = Limits.USUAL;
+        Map<String, Long> values = new LinkedHashMap<>();
+        values.put("packetBytes", section.whole("packetBytes", defaults.packetBytes, 1024, 64 << 20));
+        values.put("readingBytes", section.whole("readingBytes", defaults.readingBytes, 65_536, 1L << 32));
+        values.put("connections", section.whole("connections", defaults.connections, 0, 60_000));
+        values.put("functions", section.whole("functions", defaults.functions, 1, 65_536));
+        values.put("queue", section.whole("queue", defaults.queue, 0, 10_000_000));
+        values.put("jobsPerClient", section.whole("jobsPerClient", defaults.jobsPerClient, 1, 10_000_000));
+        values.put("scheduled", section.whole("scheduled", defaults.scheduled, 0, 1_000_000));
+        values.put("scheduledBytes", section.whole("scheduledBytes", defaults.scheduledBytes, 0, 1L << 32));
+        values.put("openJobs", section.whole("openJobs", defaults.openJobs, 0, 10_000_000));
+        values.put("jobBytes", section.whole("jobBytes", defaults.jobBytes, 0, 1L << 36));
+        values.put("keptOutcomes", section.whole("keptOutcomes", defaults.keptOutcomes, 0, 10_000_000));
+        section.allowOnly(values.keySet().toArray(String[]::new));
         return new Limits(
-                v.get("packetBytes").intValue(),
-                v.get("readingBytes"),
-                v.get("connections").intValue(),
-                v.get("functions").intValue(),
-                v.get("queue").intValue(),
-                v.get("jobsPerClient").intValue(),
-                v.get("scheduled").intValue(),
-                v.get("scheduledBytes"),
-                v.get("openJobs").intValue(),
-                v.get("jobBytes"),
-                v.get("keptOutcomes").intValue());
+                values.get("packetBytes").intValue(),
+                values.get("readingBytes"),
+                values.get("connections").intValue(),
+                values.get("functions").intValue(),
+                values.get("queue").intValue(),
+                values.get("jobsPerClient").intValue(),
+                values.get("scheduled").intValue(),
+                values.get("scheduledBytes"),
+                values.get("openJobs").intValue(),
+                values.get("jobBytes"),
+                values.get("keptOutcomes").intValue());
     }
 
     /** A pattern in which {@code *} stands for any characters and {@code ?} for one. */
-    private static Pattern glob(Fields f, String text) {
-        if (text.isEmpty()) {
-            throw new BadInput(f.where() + ": field match is empty");
+    private static Pattern globPattern(Fields fields, String glob) {
+        if (glob.isEmpty()) {
+            throw new BadInput(fields.where() + ": field match is empty");
         }
         StringBuilder regex = new StringBuilder();
-        for (char c : text.toCharArray()) {
-            regex.append(c == '*' ? ".*" : c == '?' ? "." : Pattern.quote(String.valueOf(c)));
+        for (char character : glob.toCharArray()) {
+            regex.append(character == '*' ? ".*" : character == '?' ? "." : Pattern.quote(String.valueOf(character)));
         }
         return Pattern.compile(regex.toString(), Pattern.DOTALL);
     }
 
-    private static int place(List<?> names, Fields f, String field) {
-        return f.has(field) ? index(names, f, field, f.text(field)) : 0;
+    private static int optionalIndex(List<?> names, Fields section, String field) {
+        return section.has(field) ? requiredIndex(names, section, field, section.text(field)) : 0;
     }
 
-    private static int index(List<?> names, Fields f, String field, String name) {
-        int i = names.indexOf(name);
-        if (i < 0) {
-            throw new BadInput(f.where() + "." + field + " is not in the settings: " + name);
+    private static int requiredIndex(List<?> names, Fields section, String field, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
+            throw new BadInput(section.where() + "." + field + " is not in the settings: " + name);
         }
-        return i;
+        return index;
     }
 }
--- a/src/main/java/plumpost/config/Json.java
+++ b/src/main/java/plumpost/config/Json.java
@@ -23,12 +23,12 @@
 
     /** Reads bytes that hold one object and nothing else; {@code where} names it in messages. */
     public static Fields object(String where, byte[] bytes) {
-        try (JsonParser in = FACTORY.createParser(bytes)) {
-            if (in.nextToken() == null) {
+        try (JsonParser parser = FACTORY.createParser(bytes)) {
+            if (parser.nextToken() == null) {
                 throw new BadInput(where + " is empty");
             }
-            Object value = value(in);
-            if (in.nextToken() != null) {
+            Object value = value(parser);
+            if (parser.nextToken() != null) {
                 throw new BadInput(where + ": something follows the object");
             }
             return fields(where, value);
@@ -44,40 +44,40 @@
         private static final long serialVersionUID = 1L;
 
         /** A message's fault in words. */
-        public BadInput(String words) {
-            super(words);
+        public BadInput(String message) {
+            super(message);
         }
     }
 
     /** Reads the value at the parser's present token as maps, lists, strings, numbers, booleans or null. */
-    public static Object value(JsonParser in) throws IOException {
-        switch (in.currentToken()) {
+    public static Object value(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> fields = new LinkedHashMap<>();
-                while (in.nextToken() != JsonToken.END_OBJECT) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    fields.put(name, value(in));
+                while (parser.nextToken() != JsonToken.END_OBJECT) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    fields.put(name, value(parser));
                 }
                 return fields;
             }
             case START_ARRAY -> {
                 List<Object> items = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    items.add(value(in));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    items.add(value(parser));
                 }
                 return items;
             }
             case VALUE_STRING -> {
-                return in.getText();
+                return parser.getText();
             }
             case VALUE_NUMBER_INT -> {
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? (Object) in.getBigIntegerValue().longValue()
-                        : (Object) in.getLongValue();
+                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                        ? (Object) parser.getBigIntegerValue().longValue()
+                        : (Object) parser.getLongValue();
             }
             case VALUE_NUMBER_FLOAT -> {
-                return in.getDoubleValue();
+                return parser.getDoubleValue();
             }
             case VALUE_TRUE -> {
                 return Boolean.TRUE;
@@ -96,10 +96,10 @@
      *
      * @param where names the object in messages
      * @param map its fields
-     * @param passedOver null where a field of another kind than its reader wants is bad input; else what was passed over as if
+     * @param ignored null where a field of another kind than its reader wants is bad input; else what was passed over as if
      *     it were not given, in words, shared by an object and those in it
      */
-    public record Fields(String where, Map<String, Object> map, List<String> passedOver) {
+    public record Fields(String where, Map<String, Object> map, List<String> ignored) {
         /** Fields of which none may be of another kind than its reader wants. */
         public Fields(String where, Map<String, Object> map) {
             this(where, map, null);
@@ -110,53 +110,53 @@
             return new Fields(where, map, new ArrayList<>());
         }
 
-        private <T> T get(String name, Class<T> type, String kind) {
-            Object v = map.get(name);
-            if (v == null || type.isInstance(v)) {
-                return type.cast(v);
+        private <T> T typed(String name, Class<T> type, String kind) {
+            Object value = map.get(name);
+            if (value == null || type.isInstance(value)) {
+                return type.cast(value);
             }
-            if (passedOver == null) {
+            if (ignored == null) {
                 throw new BadInput(where + ": field " + name + " is not " + kind);
             }
-            passOver(name, v, kind);
+            ignore(name, value, kind);
             return null;
         }
 
         /** Passes a field's value over, or throws where that is not allowed. */
-        void passOver(String name, Object value, String kind) {
-            if (passedOver == null) {
+        void ignore(String name, Object value, String kind) {
+            if (ignored == null) {
                 throw new BadInput(where + ": field " + name + " is " + value + ", not " + kind);
             }
-            passedOver.add(where + ": field " + name + " is " + value + ", not " + kind + ", and is passed over");
+            ignored.add(where + ": field " + name + " is " + value + ", not " + kind + ", and is passed over");
         }
 
-        private <T> T need(String name, T v) {
-            if (v == null) {
+        private <T> T required(String name, T value) {
+            if (value == null) {
                 throw new BadInput(where + ": field " + name + " is missing");
             }
-            return v;
+            return value;
         }
 
         /** A string that must be there. */
         public String text(String name) {
-            return need(name, get(name, String.class, "a string"));
+            return required(name, typed(name, String.class, "a string"));
         }
 
         /** A string. */
-        public String text(String name, String otherwise) {
-            String v = get(name, String.class, "a string");
-            return v == null ? otherwise : v;
+        public String text(String name, String fallback) {
+            String value = typed(name, String.class, "a string");
+            return value == null ? fallback : value;
         }
 
         /** A number that must be there. */
         public double number(String name) {
-            return need(name, get(name, Number.class, "a number")).doubleValue();
+            return required(name, typed(name, Number.class, "a number")).doubleValue();
         }
 
         /** A number. */
-        public double number(String name, double otherwise) {
-            Number v = get(name, Number.class, "a number");
-            return v == null ? otherwise : v.doubleValue();
+        public double number(String name, double fallback) {
+            Number value = typed(name, Number.class, "a number");
+            return value == null ? fallback : value.doubleValue();
         }
 
         /** A whole number that must be there. */
@@ -165,30 +165,30 @@
         }
 
         /** A number between two bounds. */
-        public double between(String name, double otherwise, double least, double most) {
-            double v = number(name, otherwise);
-            if (!(v >= least && v <= most)) {
-                throw new BadInput(where + ": field " + name + " is " + get(name, Number.class, "a number")
-                        + ", not from " + plain(least) + " to " + plain(most));
+        public double numberInRange(String name, double fallback, double min, double max) {
+            double value = number(name, fallback);
+            if (!(value >= min && value <= max)) {
+                throw new BadInput(where + ": field " + name + " is " + typed(name, Number.class, "a number")
+                        + ", not from " + plainNumber(min) + " to " + plainNumber(max));
             }
-            return v;
+            return value;
         }
 
-        private static String plain(double v) {
-            return v == Math.rint(v) ? String.valueOf((long) v) : String.valueOf(v);
+        private static String plainNumber(double value) {
+            return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
         }
 
         /** A whole number between two bounds. */
-        public long whole(String name, long otherwise, long least, long most) {
-            double v = between(name, otherwise, least, most);
-            if (v != Math.rint(v)) {
-                throw new BadInput(where + ": field " + name + " is " + v + ", not a whole number");
+        public long whole(String name, long fallback, long min, long max) {
+            double value = numberInRange(name, fallback, min, max);
+            if (value != Math.rint(value)) {
+                throw new BadInput(where + ": field " + name + " is " + value + ", not a whole number");
             }
-            return (long) v;
+            return (long) value;
         }
 
         /** Refuses fields of other names: a setting that is misspelt must not pass for one that is not given. */
-        public void only(String... names) {
+        public void allowOnly(String... names) {
             for (String name : map.keySet()) {
                 if (!List.of(names).contains(name)) {
                     throw new BadInput(where + ": field " + name + " is not a setting");
@@ -198,13 +198,13 @@
 
         /** A long whole number that must be there. */
         public long longWhole(String name) {
-            return need(name, get(name, Number.class, "a number")).longValue();
+            return required(name, typed(name, Number.class, "a number")).longValue();
         }
 
         /** A truth value. */
-        public boolean flag(String name, boolean otherwise) {
-            Boolean v = get(name, Boolean.class, "true or false");
-            return v == null ? otherwise : v;
+        public boolean flag(String name, boolean fallback) {
+            Boolean value = typed(name, Boolean.class, "true or false");
+            return value == null ? fallback : value;
         }
 
         /** Whether the field is there and not null. */
@@ -214,23 +214,23 @@
 
         /** An object that must be there. */
         public Fields object(String name) {
-            return fields(where + "." + name, need(name, map.get(name)), passedOver);
+            return fields(where + "." + name, required(name, map.get(name)), ignored);
         }
 
         /** An object, or one without fields. */
         public Fields objectOrEmpty(String name) {
-            return get(name, Map.class, "an object") == null
-                    ? new Fields(where + "." + name, Map.of(), passedOver)
+            return typed(name, Map.class, "an object") == null
+                    ? new Fields(where + "." + name, Map.of(), ignored)
                     : object(name);
         }
 
         /** The objects of a list that must be there. */
         public List<Fields> objects(String name) {
-            List<Fields> all = new ArrayList<>();
+            List<Fields> objects = new ArrayList<>();
             for (Object item : list(name)) {
-                all.add(fields(where + "." + name + "[" + all.size() + "]", item, passedOver));
+                objects.add(fields(where + "." + name + "[" + objects.size() + "]", item, ignored));
             }
-            return all;
+            return objects;
         }
 
         /** The objects of a list, or none. */
@@ -244,39 +244,39 @@
 
         /** A list that must be there. */
         public List<?> list(String name) {
-            return need(name, get(name, List.class, "a list"));
+            return required(name, typed(name, List.class, "a list"));
         }
 
         /** A list, or an empty one. */
         public List<?> listOrEmpty(String name) {
-            List<?> items = get(name, List.class, "a list");
+            List<?> items = typed(name, List.class, "a list");
             return items == null ? List.of() : items;
         }
 
         /** A word that names a constant; one that names none counts as not given where that is allowed. */
-        public <E extends Enum<E>> E oneOf(String name, Class<E> type, E otherwise) {
-            String word = text(name, null);
+        public <E extends Enum<E>> E oneOf(String name, Class<E> type, E fallback) {
+            String text = text(name, null);
             for (E constant : type.getEnumConstants()) {
-                if (constant.name().equalsIgnoreCase(word)) {
+                if (constant.name().equalsIgnoreCase(text)) {
                     return constant;
                 }
             }
-            if (word != null && passedOver == null) {
+            if (text != null && ignored == null) {
                 return oneOf(name, type);
             }
-            if (word != null) {
-                passOver(name, word, "a word that is known");
+            if (text != null) {
+                ignore(name, text, "a word that is known");
             }
-            return otherwise;
+            return fallback;
         }
 
         /** A word that must be there and name a constant. */
         public <E extends Enum<E>> E oneOf(String name, Class<E> type) {
-            String v = text(name);
+            String text = text(name);
             try {
-                return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
+                return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
-                throw new BadInput(where + ": field " + name + " has the unknown value " + v);
+                throw new BadInput(where + ": field " + name + " has the unknown value " + text);
             }
         }
     }
@@ -291,7 +291,7 @@
             throw new BadInput(where + " is not an object");
         }
         Map<String, Object> named = new LinkedHashMap<>();
-        map.forEach((k, v) -> named.put((String) k, v));
+        map.forEach((name, fieldValue) -> named.put((String) name, fieldValue));
         return new Fields(where, named, passedOver);
     }
 }
--- a/src/main/java/plumpost/config/LoadReports.java
+++ b/src/main/java/plumpost/config/LoadReports.java
@@ -13,14 +13,14 @@
     private LoadReports() {}
 
     /** The report in named fields. */
-    public static LoadReport read(Fields r, boolean freeSlots) {
+    public static LoadReport read(Fields fields, boolean freeSlots) {
         return new LoadReport(
-                r.number("inflight", Double.NaN),
-                r.number("queue", Double.NaN),
-                r.number("latency_ms", Double.NaN),
-                r.number("eps", Double.NaN),
-                freeSlots ? r.number("x0", Double.NaN) : Double.NaN,
-                r.number("x1", Double.NaN));
+                fields.number("inflight", Double.NaN),
+                fields.number("queue", Double.NaN),
+                fields.number("latency_ms", Double.NaN),
+                fields.number("eps", Double.NaN),
+                freeSlots ? fields.number("x0", Double.NaN) : Double.NaN,
+                fields.number("x1", Double.NaN));
     }
 
     /** The report in a body or field of an answer; null for an empty one. */
@@ -36,15 +36,15 @@
 
     /** Numbers given as {@code name=value,name=value}. */
     public static Map<String, Object> pairs(String text) {
-        Map<String, Object> named = new LinkedHashMap<>();
+        Map<String, Object> numbers = new LinkedHashMap<>();
         for (String pair : text.split("[,\\s]+")) {
-            int is = pair.indexOf('=');
+            int separator = pair.indexOf('=');
             try {
-                named.put(pair.substring(0, Math.max(0, is)), Double.valueOf(pair.substring(is + 1)));
+                numbers.put(pair.substring(0, Math.max(0, separator)), Double.valueOf(pair.substring(separator + 1)));
             } catch (NumberFormatException e) {
                 throw new BadInput("not a number in " + pair);
             }
         }
-        return named;
+        return numbers;
     }
 }
--- a/src/main/java/plumpost/config/NodeConfig.java
+++ b/src/main/java/plumpost/config/NodeConfig.java
@@ -63,37 +63,37 @@
      * What real links add to the granularity that is told: an order's new connection and the proof that it stands take
      * some 10 ms, and the module takes a start for prompt within four times its granularity.
      */
-    static final double LINK_MS = 2.5;
+    static final double LINK_GRANULARITY_MS = 2.5;
     /** The fleet's section under a name that no platform's page uses. */
-    static final String FLEET = "plumpost_fleet";
+    static final String FLEET_SECTION = "plumpost_fleet";
 
-    private static final SettingsReader.Host REAL_HOST =
-            new SettingsReader.Host(LINK_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
+    private static final SettingsReader.HostTiming REAL_HOST =
+            new SettingsReader.HostTiming(LINK_GRANULARITY_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
 
     /** Takes the file read anew: it is newer than the environment, so its discovery goes before NODE_DISCOVERY. */
     public static NodeConfig reread(Fields file, Map<String, String> environment) {
-        Map<String, String> older = new HashMap<>(environment);
-        older.remove("NODE_DISCOVERY");
-        return from(file, older);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove("NODE_DISCOVERY");
+        return from(file, withoutDiscovery);
     }
 
     /**
      * Takes a file read at SIGHUP, or says why not: one that is empty or cut off, lacks a key that the file taken last
      * had, or has a deadline or attempts not over 0, is bad input as a whole, and nothing of it is taken.
      */
-    public static NodeConfig again(Fields last, Fields whole, Map<String, String> environment) {
-        String gap = Shape.missing(last.map(), whole.map());
-        if (gap != null) {
-            throw new BadInput("configuration: key " + gap + " is missing");
+    public static NodeConfig reload(Fields previous, Fields current, Map<String, String> environment) {
+        String missingKey = ConfigShape.firstMissingKey(previous.map(), current.map());
+        if (missingKey != null) {
+            throw new BadInput("configuration: key " + missingKey + " is missing");
         }
-        NodeConfig taken = reread(whole, environment);
-        for (String passedOver : whole.passedOver() == null ? List.<String>of() : whole.passedOver()) {
-            if (last.passedOver() == null || !last.passedOver().contains(passedOver)) {
+        NodeConfig config = reread(current, environment);
+        for (String passedOver : current.ignored() == null ? List.<String>of() : current.ignored()) {
+            if (previous.ignored() == null || !previous.ignored().contains(passedOver)) {
                 throw new BadInput(
                         passedOver); // at the start it would be better than nothing, now the old file is better
             }
         }
-        return taken;
+        return config;
     }
 
     /** Reads the file and lets the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before it. */
@@ -114,64 +114,64 @@
     }
 
     /** Takes what a file says, with the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY before it. */
-    public static NodeConfig from(Fields f, Map<String, String> environment) {
-        Fields raw = f.object("settings");
+    public static NodeConfig from(Fields file, Map<String, String> environment) {
+        Fields raw = file.object("settings");
         Dispatcher.Settings settings;
         try {
             settings = SettingsReader.settings(raw, REAL_HOST);
         } catch (IllegalArgumentException e) {
             throw new BadInput("configuration: " + e.getMessage());
         }
-        NodeConfig c = new NodeConfig(
-                environment.getOrDefault("NODE_NAME", f.text("name", "plumpost")),
-                address(environment, "NODE_LISTEN", f, "listen"),
-                address(environment, "NODE_DISCOVERY", f, "discovery"),
-                seed(f),
-                (int) f.objectOrEmpty("limits").number("sockets", 1024),
+        NodeConfig config = new NodeConfig(
+                environment.getOrDefault("NODE_NAME", file.text("name", "plumpost")),
+                address(environment, "NODE_LISTEN", file, "listen"),
+                address(environment, "NODE_DISCOVERY", file, "discovery"),
+                seed(file),
+                (int) file.objectOrEmpty("limits").number("sockets", 1024),
                 settings,
                 raw,
-                f.objectOrEmpty("known"),
-                isObject(f, "gearman") ? GearmanConfig.read(strict(f, "gearman"), raw) : null,
-                isObject(f, "log") ? logFormat(strict(f, "log")) : null,
-                address(environment, "NODE_OPS", f, "ops"),
-                fleetSection(f));
-        if (c.listen == null && c.gearman == null) {
+                file.objectOrEmpty("known"),
+                isObject(file, "gearman") ? GearmanConfig.read(ownSection(file, "gearman"), raw) : null,
+                isObject(file, "log") ? logFormat(ownSection(file, "log")) : null,
+                address(environment, "NODE_OPS", file, "ops"),
+                fleetSection(file));
+        if (config.listen == null && config.gearman == null) {
             throw new BadInput("configuration: neither listen nor gearman.listen is given");
         }
-        if (c.sockets < 64) {
+        if (config.sockets < 64) {
             throw new BadInput("configuration: limits.sockets is under 64");
         }
-        return c;
+        return config;
     }
 
     /** Whether an optional section of this program's own is given; something else under its name is passed over. */
-    private static boolean isObject(Fields f, String name) {
-        return !f.objectOrEmpty(name).map().isEmpty() || f.map().get(name) instanceof Map;
+    private static boolean isObject(Fields file, String name) {
+        return !file.objectOrEmpty(name).map().isEmpty() || file.map().get(name) instanceof Map;
     }
 
     /** A section of this program's own: what is misspelt there is bad input. */
-    private static Fields strict(Fields f, String name) {
-        return Json.fields(f.where() + "." + name, f.map().get(name));
+    private static Fields ownSection(Fields file, String name) {
+        return Json.fields(file.where() + "." + name, file.map().get(name));
     }
 
     /**
-     * The section on this program's fleet, or null. Its own name is {@value #FLEET}. Under {@code peers} stands either that
+     * The section on this program's fleet, or null. Its own name is {@value #FLEET_SECTION}. Under {@code peers} stands either that
      * section or what the platform tells of other schedulers (addresses, in whatever form), which is not used here.
      */
-    private static Fields fleetSection(Fields f) {
-        if (f.has(FLEET)) {
-            return strict(f, FLEET);
+    private static Fields fleetSection(Fields file) {
+        if (file.has(FLEET_SECTION)) {
+            return ownSection(file, FLEET_SECTION);
         }
-        boolean fleet = f.map().get("peers") instanceof Map<?, ?> section
+        boolean fleet = file.map().get("peers") instanceof Map<?, ?> section
                 && PeersConfig.SETTINGS.stream().anyMatch(section::containsKey);
-        return fleet ? strict(f, "peers") : null;
+        return fleet ? ownSection(file, "peers") : null;
     }
 
-    private static String logFormat(Fields f) {
-        f.only("format");
-        String format = f.text("format", "text");
+    private static String logFormat(Fields section) {
+        section.allowOnly("format");
+        String format = section.text("format", "text");
         if (!format.equals("text") && !format.equals("json")) {
-            throw new BadInput(f.where() + ": field format is " + format + ", not text or json");
+            throw new BadInput(section.where() + ": field format is " + format + ", not text or json");
         }
         return format;
     }
@@ -181,8 +181,9 @@
         return GearmanConfig.read(section, settings);
     }
 
-    private static InetSocketAddress address(Map<String, String> environment, String variable, Fields f, String field) {
-        String text = environment.getOrDefault(variable, f.text(field, null));
+    private static InetSocketAddress address(
+            Map<String, String> environment, String variable, Fields file, String field) {
+        String text = environment.getOrDefault(variable, file.text(field, null));
         return text == null || text.isEmpty()
                 ? null
                 : NodeListReader.address(
@@ -190,12 +191,12 @@
     }
 
     /** The seed's number; a text that is no hexadecimal number still differs from start to start. */
-    private static long seed(Fields f) {
-        String text = f.text("seed", "0");
+    private static long seed(Fields file) {
+        String text = file.text("seed", "0");
         try {
             return new BigInteger(text, 16).longValue();
         } catch (NumberFormatException e) {
-            f.passOver("seed", text, "hexadecimal");
+            file.ignore("seed", text, "hexadecimal");
             return text.hashCode();
         }
     }
--- a/src/main/java/plumpost/config/NodeListReader.java
+++ b/src/main/java/plumpost/config/NodeListReader.java
@@ -15,7 +15,7 @@
     private static final String IPV4 = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])){3}";
 
     /** The end of the year 9999: what lies later is no time that a clock has told. */
-    private static final double LATEST_UNIX_MS = 253_402_300_800_000.0;
+    private static final double MAX_UNIX_MS = 253_402_300_800_000.0;
 
     private final List<?> plants;
     private final List<?> models;
@@ -46,34 +46,34 @@
     }
 
     /** Reads a list; {@link BadInput} where it is none. */
-    public Listing read(Fields f) {
+    public Listing read(Fields list) {
         List<Line> lines = new ArrayList<>();
-        for (Object o : f.listOrEmpty("hosts")) {
+        for (Object item : list.listOrEmpty("hosts")) {
             try {
-                lines.add(line(Json.fields("hosts", o)));
+                lines.add(readLine(Json.fields("hosts", item)));
             } catch (BadInput e) {
                 malformed.accept(e.getMessage());
             }
         }
-        return new Listing(f.longWhole("seq"), f.flag("whole", false), lines);
+        return new Listing(list.longWhole("seq"), list.flag("whole", false), lines);
     }
 
-    private Line line(Fields f) {
+    private Line readLine(Fields fields) {
         Phase phase =
-                switch (f.text("health")) {
+                switch (fields.text("health")) {
                     case "up" -> Phase.SERVING;
                     case "removed" -> Phase.DELETED;
                     default -> Phase.DRAINING; // draining, or a word not known here: nothing new is sent
                 };
         WorkerEntry entry = new WorkerEntry(
-                f.text("host"),
-                place(plants, f, "site"),
-                place(models, f, "class"),
-                (int) f.number("block", 0),
+                fields.text("host"),
+                indexOrZero(plants, fields, "site"),
+                indexOrZero(models, fields, "class"),
+                (int) fields.number("block", 0),
                 phase,
-                f.number("share", 1),
-                startedAt(f));
-        String dial = f.text("dial", null);
+                fields.number("share", 1),
+                startedAt(fields));
+        String dial = fields.text("dial", null);
         if (dial == null && phase == Phase.SERVING) {
             throw new BadInput("hosts: " + entry.id() + " has no dial address");
         }
@@ -81,34 +81,34 @@
     }
 
     /** When the worker started, 0 for long ago. A time that cannot be is reported, and the line holds with long ago. */
-    private double startedAt(Fields f) {
-        double bornMs = f.number("born_ms", 0);
-        if (!(bornMs >= 0 && bornMs < LATEST_UNIX_MS)) {
-            malformed.accept("hosts: field born_ms of " + f.text("host") + " is " + bornMs + ", no Unix time");
+    private double startedAt(Fields fields) {
+        double bornMs = fields.number("born_ms", 0);
+        if (!(bornMs >= 0 && bornMs < MAX_UNIX_MS)) {
+            malformed.accept("hosts: field born_ms of " + fields.text("host") + " is " + bornMs + ", no Unix time");
             return 0;
         }
-        return bornMs == 0 ? 0 : startTimes.moment(f.text("host"), bornMs);
+        return bornMs == 0 ? 0 : startTimes.moment(fields.text("host"), bornMs);
     }
 
-    private static int place(List<?> names, Fields f, String field) {
-        String name = f.text(field, null);
+    private static int indexOrZero(List<?> names, Fields fields, String field) {
+        String name = fields.text(field, null);
         return name == null ? 0 : Math.max(0, names.indexOf(name)); // an unmodifiable list refuses to look for null
     }
 
     /** An address given as host and port in numbers; names are not looked up. */
-    public static InetSocketAddress address(String what, String text) {
+    public static InetSocketAddress address(String source, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0
                 ? ""
                 : text.substring(0, colon).replaceAll("^\\[|\\]$", "").toLowerCase(Locale.ROOT);
         if (!host.matches(IPV4 + "|[0-9a-f:.]*:[0-9a-f:.]*")
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
-            throw new BadInput(what + " is not an address and port: " + text);
+            throw new BadInput(source + " is not an address and port: " + text);
         }
         try {
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(what + " is not an address and port: " + text);
+            throw new BadInput(source + " is not an address and port: " + text);
         }
     }
 }
--- a/src/main/java/plumpost/config/ObjectStream.java
+++ b/src/main/java/plumpost/config/ObjectStream.java
@@ -19,92 +19,93 @@
  * object counts once its last brace has come, and what a stream leaves unfinished never counts.
  */
 public final class ObjectStream {
-    private final String where;
-    private final int limit;
-    private final JsonParser in;
-    private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-    private final ArrayDeque<Object> open = new ArrayDeque<>();
-    private final ArrayDeque<String> names = new ArrayDeque<>();
-    private long before;
+    private final String context;
+    private final int maxBytes;
+    private final JsonParser parser;
+    private final ByteArrayOutputStream objectText = new ByteArrayOutputStream();
+    private final ArrayDeque<Object> openValues = new ArrayDeque<>();
+    private final ArrayDeque<String> fieldNames = new ArrayDeque<>();
+    private long consumedBytes;
 
     /** A stream at its start; {@code where} names its objects in messages, none of which may be over the limit. */
-    public ObjectStream(String where, int limit) {
-        this.where = where;
-        this.limit = limit;
+    public ObjectStream(String context, int maxBytes) {
+        this.context = context;
+        this.maxBytes = maxBytes;
         try {
-            in = Json.FACTORY.createNonBlockingByteArrayParser();
+            parser = Json.FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Takes bytes, and hands on each object that is whole by that, with its text. */
-    public void feed(byte[] bytes, BiConsumer<Fields, byte[]> each) {
-        int taken = 0;
+    public void feed(byte[] bytes, BiConsumer<Fields, byte[]> onObject) {
+        int copied = 0;
         try {
-            ((ByteArrayFeeder) in.getNonBlockingInputFeeder()).feedInput(bytes, 0, bytes.length);
-            for (JsonToken t = in.nextToken(); t != JsonToken.NOT_AVAILABLE; t = in.nextToken()) {
-                Object whole = token(t);
-                if (whole != null) {
-                    int end = (int) (in.currentLocation().getByteOffset() - before);
-                    text.write(bytes, taken, end - taken);
-                    taken = end;
-                    byte[] all = text.toByteArray();
-                    text.reset();
-                    each.accept(Json.fields(where, whole), all);
+            ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, 0, bytes.length);
+            for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
+                Object object = acceptToken(token);
+                if (object != null) {
+                    int end = (int) (parser.currentLocation().getByteOffset() - consumedBytes);
+                    objectText.write(bytes, copied, end - copied);
+                    copied = end;
+                    byte[] text = objectText.toByteArray();
+                    objectText.reset();
+                    onObject.accept(Json.fields(context, object), text);
                 }
             }
         } catch (IOException e) {
-            throw new BadInput(where + " is not JSON");
+            throw new BadInput(context + " is not JSON");
         }
-        if (!open.isEmpty()) {
-            text.write(bytes, taken, bytes.length - taken); // blanks between objects are not kept
+        if (!openValues.isEmpty()) {
+            objectText.write(bytes, copied, bytes.length - copied); // blanks between objects are not kept
         }
-        before += bytes.length;
-        if (text.size() > limit) {
-            throw new BadInput(where + " is over " + limit + " bytes");
+        consumedBytes += bytes.length;
+        if (objectText.size() > maxBytes) {
+            throw new BadInput(context + " is over " + maxBytes + " bytes");
         }
     }
 
     /** Whether an object has begun and is not whole yet. */
     public boolean midway() {
-        return !open.isEmpty();
+        return !openValues.isEmpty();
     }
 
     /** Takes a token; the object that it ends, where that stands in no other. */
-    private Object token(JsonToken t) throws IOException {
-        switch (t) {
+    private Object acceptToken(JsonToken token) throws IOException {
+        switch (token) {
             case FIELD_NAME -> {
-                names.pop();
-                names.push(in.currentName());
+                fieldNames.pop();
+                fieldNames.push(parser.currentName());
             }
             case START_OBJECT, START_ARRAY -> {
-                Object fresh = t == JsonToken.START_OBJECT ? new LinkedHashMap<String, Object>() : new ArrayList<>();
-                add(fresh);
-                open.push(fresh);
-                names.push("");
+                Object opened =
+                        token == JsonToken.START_OBJECT ? new LinkedHashMap<String, Object>() : new ArrayList<>();
+                addValue(opened);
+                openValues.push(opened);
+                fieldNames.push("");
             }
             case END_OBJECT, END_ARRAY -> {
-                names.pop();
-                Object done = open.pop();
-                return open.isEmpty() ? done : null;
+                fieldNames.pop();
+                Object closed = openValues.pop();
+                return openValues.isEmpty() ? closed : null;
             }
             default -> {
-                if (open.isEmpty()) {
-                    throw new BadInput(where + " is no object");
+                if (openValues.isEmpty()) {
+                    throw new BadInput(context + " is no object");
                 }
-                add(Json.value(in));
+                addValue(Json.value(parser));
             }
         }
         return null;
     }
 
     @SuppressWarnings("unchecked")
-    private void add(Object value) {
-        if (open.peek() instanceof List<?> items) {
+    private void addValue(Object value) {
+        if (openValues.peek() instanceof List<?> items) {
             ((List<Object>) items).add(value);
-        } else if (!open.isEmpty()) {
-            ((Map<String, Object>) open.peek()).put(names.peek(), value);
+        } else if (!openValues.isEmpty()) {
+            ((Map<String, Object>) openValues.peek()).put(fieldNames.peek(), value);
         }
     }
 }
--- a/src/main/java/plumpost/config/PeersConfig.java
+++ b/src/main/java/plumpost/config/PeersConfig.java
@@ -65,80 +65,83 @@
             "keepMs");
 
     /** Members at once: what the fleet's book holds as well. */
-    public static final int MOST_MEMBERS = 1024;
+    public static final int MAX_MEMBERS = 1024;
 
     /** Reads the section for the scheduler of that name; {@code dataBefore}, where not null, goes before its {@code data}. */
-    public static PeersConfig read(Fields f, String name, String dataBefore, boolean asks) {
-        f.only(SETTINGS.toArray(String[]::new));
+    public static PeersConfig read(Fields section, String name, String dataOverride, boolean asks) {
+        section.allowOnly(SETTINGS.toArray(String[]::new));
         List<Member> members = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Object o : f.list("members")) {
-            Fields m = Json.fields(f.where() + ".members[" + members.size() + "]", o);
-            m.only("name", "address", "site", "vote");
-            String who = m.text("name");
-            if (!who.matches("[A-Za-z0-9_-]{1,64}")) {
-                throw new BadInput(m.where() + ": field name is " + who + ", not 1 to 64 letters, digits, - and _");
+        for (Object item : section.list("members")) {
+            Fields member = Json.fields(section.where() + ".members[" + members.size() + "]", item);
+            member.allowOnly("name", "address", "site", "vote");
+            String memberName = member.text("name");
+            if (!memberName.matches("[A-Za-z0-9_-]{1,64}")) {
+                throw new BadInput(
+                        member.where() + ": field name is " + memberName + ", not 1 to 64 letters, digits, - and _");
             }
-            if (!names.add(who)) {
-                throw new BadInput(m.where() + ": field name is " + who + ", which another member bears");
+            if (!names.add(memberName)) {
+                throw new BadInput(member.where() + ": field name is " + memberName + ", which another member bears");
             }
             members.add(new Member(
-                    who,
-                    NodeListReader.address(m.where() + ".address", m.text("address")),
-                    m.text("site", ""),
-                    m.flag("vote", false)));
+                    memberName,
+                    NodeListReader.address(member.where() + ".address", member.text("address")),
+                    member.text("site", ""),
+                    member.flag("vote", false)));
         }
-        if (members.size() > MOST_MEMBERS) {
+        if (members.size() > MAX_MEMBERS) {
             throw new BadInput(
-                    f.where() + ": field members has " + members.size() + " members, at most " + MOST_MEMBERS);
+                    section.where() + ": field members has " + members.size() + " members, at most " + MAX_MEMBERS);
         }
-        long votes = members.stream().filter(Member::vote).count();
-        if (votes != 1 && votes != 3 && votes != 5) {
-            throw new BadInput(f.where() + ": field members gives " + votes + " a vote, not 1, 3 or 5");
+        long voterCount = members.stream().filter(Member::vote).count();
+        if (voterCount != 1 && voterCount != 3 && voterCount != 5) {
+            throw new BadInput(section.where() + ": field members gives " + voterCount + " a vote, not 1, 3 or 5");
         }
         Member self = members.stream()
-                .filter(m -> m.name().equals(name))
+                .filter(member -> member.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new BadInput(f.where() + ": field members does not name this scheduler, " + name));
-        String data = dataBefore == null ? f.text("data") : dataBefore;
+                .orElseThrow(
+                        () -> new BadInput(section.where() + ": field members does not name this scheduler, " + name));
+        String data = dataOverride == null ? section.text("data") : dataOverride;
         if (data.isEmpty()) {
-            throw new BadInput(f.where() + ": field data is empty");
+            throw new BadInput(section.where() + ": field data is empty");
         }
-        double lost = f.between("lostMs", 1500, 200, 600_000);
+        double sessionTimeoutMs = section.numberInRange("lostMs", 1500, 200, 600_000);
         return new PeersConfig(
-                f.text("group", "plumpost"),
+                section.text("group", "plumpost"),
                 Path.of(data),
                 self,
                 List.copyOf(members),
-                f.between("beatMs", 250, 10, lost / 3),
-                lost,
-                f.between("discoveryAgeMs", 5000, 100, 600_000),
-                f.whole("snapshotEvery", 10_000, 10, 10_000_000),
+                section.numberInRange("beatMs", 250, 10, sessionTimeoutMs / 3),
+                sessionTimeoutMs,
+                section.numberInRange("discoveryAgeMs", 5000, 100, 600_000),
+                section.whole("snapshotEvery", 10_000, 10, 10_000_000),
                 asks,
-                covered(f));
+                covered(section));
     }
 
-    private static Covered covered(Fields f) {
+    private static Covered covered(Fields section) {
         Set<String> classes = new LinkedHashSet<>();
-        if (f.has("covers")) {
-            for (Object o : f.list("covers")) {
-                if (!(o instanceof String name) || !classes.add(name)) {
-                    throw new BadInput(f.where() + ": field covers holds " + o + ", not names of classes, each once");
+        if (section.has("covers")) {
+            for (Object item : section.list("covers")) {
+                if (!(item instanceof String name) || !classes.add(name)) {
+                    throw new BadInput(
+                            section.where() + ": field covers holds " + item + ", not names of classes, each once");
                 }
             }
         }
         return new Covered(
                 Set.copyOf(classes),
-                f.between("awaitMs", Covered.NONE.awaitMs, 100, 3_600_000),
-                f.between("keepMs", Covered.NONE.keepMs, 1000, 86_400_000));
+                section.numberInRange("awaitMs", Covered.NONE.awaitMs, 100, 3_600_000),
+                section.numberInRange("keepMs", Covered.NONE.keepMs, 1000, 86_400_000));
     }
 
     /** The section of a whole file, for a command to the fleet; bad input where there is none. */
-    public static PeersConfig of(NodeConfig c) {
-        if (c.peers() == null) {
-            throw new BadInput("configuration: field peers is missing: " + c.name() + " is in no fleet");
+    public static PeersConfig of(NodeConfig config) {
+        if (config.peers() == null) {
+            throw new BadInput("configuration: field peers is missing: " + config.name() + " is in no fleet");
         }
-        return read(c.peers(), c.name(), null, false);
+        return read(config.peers(), config.name(), null, false);
     }
 
     /** The members with a vote, in the file's order; the first of them founds the fleet. */
--- a/src/main/java/plumpost/config/SettingsReader.java
+++ b/src/main/java/plumpost/config/SettingsReader.java
@@ -10,63 +10,63 @@
     private SettingsReader() {}
 
     /** The settings in the module's words, for a simulated host. */
-    public static Dispatcher.Settings settings(Fields c) {
-        return settings(c, Host.SIMULATED);
+    public static Dispatcher.Settings settings(Fields config) {
+        return settings(config, HostTiming.SIMULATED);
     }
 
     /**
      * What a host's links and clock add to the settings.
      *
-     * @param coarserMs so much coarser than is told its events come
-     * @param heldUpMs so long it may be held up between a decision and what it writes; windows end that much earlier
-     * @param leastLeftMs with less time left to its client it begins no attempt
+     * @param extraGranularityMs so much coarser than is told its events come
+     * @param maxHoldUpMs so long it may be held up between a decision and what it writes; windows end that much earlier
+     * @param minTimeLeftMs with less time left to its client it begins no attempt
      */
-    record Host(double coarserMs, double heldUpMs, double leastLeftMs) {
+    record HostTiming(double extraGranularityMs, double maxHoldUpMs, double minTimeLeftMs) {
         /** A host in simulated time, which does at once what it decides. */
-        static final Host SIMULATED = new Host(0, 0, 0);
+        static final HostTiming SIMULATED = new HostTiming(0, 0, 0);
     }
 
     /** The settings in the module's words, for a given host. */
-    static Dispatcher.Settings settings(Fields c, Host host) {
-        Fields info = c.objectOrEmpty("familyInfo");
-        Fields limits = c.objectOrEmpty("ceilings");
-        Fields rules = c.object("rules");
-        Fields fees = c.objectOrEmpty("fees");
-        Fields report = c.objectOrEmpty("report");
-        double granularity = c.number("granularityMs", 1) + host.coarserMs();
+    static Dispatcher.Settings settings(Fields config, HostTiming host) {
+        Fields info = config.objectOrEmpty("familyInfo");
+        Fields limits = config.objectOrEmpty("ceilings");
+        Fields rules = config.object("rules");
+        Fields fees = config.objectOrEmpty("fees");
+        Fields report = config.objectOrEmpty("report");
+        double granularity = config.number("granularityMs", 1) + host.extraGranularityMs();
         List<Dispatcher.JobClass> classes = new ArrayList<>();
-        for (Fields k : c.objects("classes")) {
-            int i = classes.size();
+        for (Fields jobClass : config.objects("classes")) {
+            int classIndex = classes.size();
             classes.add(new Dispatcher.JobClass(
-                    k.text("name", "class " + i),
-                    k.number("sloMs"),
-                    k.number("aimStretch", item(info, "classStretch", i, 0)),
-                    k.number("deadlineMs"),
-                    k.oneOf("effect", Dispatcher.Effect.class),
+                    jobClass.text("name", "class " + classIndex),
+                    jobClass.number("sloMs"),
+                    jobClass.number("aimStretch", numberAt(info, "classStretch", classIndex, 0)),
+                    jobClass.number("deadlineMs"),
+                    jobClass.oneOf("effect", Dispatcher.Effect.class),
                     // A scope that is not known is the narrowest: a repeat there is harmless in any.
-                    k.oneOf(
+                    jobClass.oneOf(
                             "keyScope",
                             Dispatcher.Scope.class,
-                            k.has("keyScope") ? Dispatcher.Scope.CELL : Dispatcher.Scope.ALL),
-                    window(k.number("windowMs", 0), host),
-                    k.number("importance", 1),
-                    k.number("lateWorth", 0),
-                    (int) item(info, "classKind", i, -1),
-                    (int) item(info, "classPriority", i, 0)));
+                            jobClass.has("keyScope") ? Dispatcher.Scope.CELL : Dispatcher.Scope.ALL),
+                    shortenedWindow(jobClass.number("windowMs", 0), host),
+                    jobClass.number("importance", 1),
+                    jobClass.number("lateWorth", 0),
+                    (int) numberAt(info, "classKind", classIndex, -1),
+                    (int) numberAt(info, "classPriority", classIndex, 0)));
         }
         List<Dispatcher.Tenant> tenants = new ArrayList<>();
-        for (Fields t : c.objectsOrNone("tenants")) {
+        for (Fields tenant : config.objectsOrNone("tenants")) {
             tenants.add(new Dispatcher.Tenant(
-                    t.text("name", "tenant " + tenants.size()),
-                    t.number("quotaPerS", Double.POSITIVE_INFINITY),
-                    t.number("share", 0)));
+                    tenant.text("name", "tenant " + tenants.size()),
+                    tenant.number("quotaPerS", Double.POSITIVE_INFINITY),
+                    tenant.number("share", 0)));
         }
         return new Dispatcher.Settings(
-                (int) c.number("balancers", 1),
-                (int) c.number("index", 0),
-                (int) c.number("locality", 0),
-                Math.max(1, c.listOrEmpty("dcs").size()),
-                Math.max(1, c.listOrEmpty("shapes").size()),
+                (int) config.number("balancers", 1),
+                (int) config.number("index", 0),
+                (int) config.number("locality", 0),
+                Math.max(1, config.listOrEmpty("dcs").size()),
+                Math.max(1, config.listOrEmpty("shapes").size()),
                 classes,
                 tenants,
                 new Dispatcher.Limits(
@@ -101,22 +101,22 @@
                 },
                 report.listOrEmpty("fields").contains("x0")
                         && info.text("reportX0", "free slots").equals("free slots"),
-                c.text("membershipMode", "pushed").equals("on_request"),
+                config.text("membershipMode", "pushed").equals("on_request"),
                 info.flag("tellsStart", false),
                 info.number("progressMs", 0),
-                c.text("worthBy", "request").equals("work"),
-                c.number("overShareWorth", 1),
+                config.text("worthBy", "request").equals("work"),
+                config.number("overShareWorth", 1),
                 granularity,
-                Math.max(2 * granularity, host.leastLeftMs()));
+                Math.max(2 * granularity, host.minTimeLeftMs()));
     }
 
     /** A repeat may be held up between its decision and its last byte; a window too short for that is halved. */
-    private static double window(double toldMs, Host host) {
-        return toldMs - Math.min(host.heldUpMs(), toldMs / 2);
+    private static double shortenedWindow(double configuredMs, HostTiming host) {
+        return configuredMs - Math.min(host.maxHoldUpMs(), configuredMs / 2);
     }
 
-    private static double item(Fields f, String name, int i, double otherwise) {
-        List<?> items = f.listOrEmpty(name);
-        return i < items.size() && items.get(i) instanceof Number n ? n.doubleValue() : otherwise;
+    private static double numberAt(Fields fields, String name, int index, double fallback) {
+        List<?> items = fields.listOrEmpty(name);
+        return index < items.size() && items.get(index) instanceof Number n ? n.doubleValue() : fallback;
     }
 }
--- a/src/main/java/plumpost/control/ControlOperations.java
+++ b/src/main/java/plumpost/control/ControlOperations.java
@@ -13,25 +13,25 @@
 /** What the operators' calls reach in one process: its readiness, its figures, and the bans shared with its twin. */
 public final class ControlOperations implements ControlServer.Operations {
     /** The figures' prefix. */
-    public static final String PREFIX = "node";
+    public static final String METRIC_PREFIX = "node";
 
-    private final DispatchCore room;
+    private final DispatchCore core;
     private final Counters counters;
-    private final SharedBans shared;
+    private final SharedBans sharedBans;
     private final BooleanSupplier ready;
     private Fleet fleet;
 
     /** A console on a core; {@code shared} may be null where no other process is to be told. */
-    public ControlOperations(DispatchCore room, Counters counters, SharedBans shared, BooleanSupplier ready) {
-        this.room = room;
+    public ControlOperations(DispatchCore core, Counters counters, SharedBans sharedBans, BooleanSupplier ready) {
+        this.core = core;
         this.counters = counters;
-        this.shared = shared;
+        this.sharedBans = sharedBans;
         this.ready = ready;
     }
 
     /** From now on what is taken out or called back here is so for the whole fleet. */
-    public void in(Fleet whole) {
-        fleet = whole;
+    public void joinFleet(Fleet joined) {
+        fleet = joined;
     }
 
     /**
@@ -39,25 +39,26 @@
      * on; a yes is owed only then.
      */
     @Override
-    public void change(String node, boolean out, BiConsumer<Bans.Said, String> then) {
+    public void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
         if (fleet == null) {
-            Bans.Said said = change(node, out);
-            boolean owed = said != Bans.Said.UNKNOWN && shared != null && !shared.kept();
-            String why = "worker " + node + (out ? " is out" : " is back") + " in this process only: "
+            Bans.Said result = changeBan(worker, offline);
+            boolean unsaved = result != Bans.Said.UNKNOWN && sharedBans != null && !sharedBans.isSaved();
+            String reason = "worker " + worker + (offline ? " is out" : " is back") + " in this process only: "
                     + "the next one cannot be told, the shared folder takes no file";
-            then.accept(owed ? null : said, owed ? why : "");
+            onResult.accept(unsaved ? null : result, unsaved ? reason : "");
             return;
         }
-        Bans.Said here = room.known(node) ? out ? room.offline(node) : Bans.Said.CHANGED : Bans.Said.UNKNOWN;
-        if (here == Bans.Said.UNKNOWN) {
-            then.accept(here, "");
+        Bans.Said localResult =
+                core.known(worker) ? offline ? core.offline(worker) : Bans.Said.CHANGED : Bans.Said.UNKNOWN;
+        if (localResult == Bans.Said.UNKNOWN) {
+            onResult.accept(localResult, "");
         } else {
             fleet.ban(
-                    node,
-                    out,
-                    said -> then.accept(
-                            said.agreed() ? here : null,
-                            "worker " + node + (out ? " is out here only: " : " stays out: ") + said.words()));
+                    worker,
+                    offline,
+                    result -> onResult.accept(
+                            result.agreed() ? localResult : null,
+                            "worker " + worker + (offline ? " is out here only: " : " stays out: ") + result.words()));
         }
     }
 
@@ -67,33 +68,33 @@
     }
 
     @Override
-    public String figures() {
+    public String statsdLines() {
         Map<String, Long> gauges = new LinkedHashMap<>();
-        gauges.put("outstanding", (long) room.open());
-        gauges.put("discovered", (long) room.listedNodes());
-        gauges.put("ejected", (long) room.avoided());
-        return Statsd.lines(PREFIX, counters, room.classNames(), gauges);
+        gauges.put("outstanding", (long) core.open());
+        gauges.put("discovered", (long) core.listedNodes());
+        gauges.put("ejected", (long) core.avoided());
+        return Statsd.lines(METRIC_PREFIX, counters, core.classNames(), gauges);
     }
 
     @Override
-    public Bans.Said offline(String node) {
-        return change(node, true);
+    public Bans.Said takeOffline(String worker) {
+        return changeBan(worker, true);
     }
 
     @Override
-    public Bans.Said online(String node) {
-        return change(node, false);
+    public Bans.Said bringOnline(String worker) {
+        return changeBan(worker, false);
     }
 
     /** The other process may have changed the bans a moment ago: its word is taken first, then this call's. */
-    private Bans.Said change(String node, boolean out) {
-        if (shared != null) {
-            shared.look();
+    private Bans.Said changeBan(String worker, boolean offline) {
+        if (sharedBans != null) {
+            sharedBans.refresh();
         }
-        Bans.Said said = out ? room.offline(node) : room.online(node);
-        if (said == Bans.Said.CHANGED && shared != null) {
-            shared.changed(node, out);
+        Bans.Said result = offline ? core.offline(worker) : core.online(worker);
+        if (result == Bans.Said.CHANGED && sharedBans != null) {
+            sharedBans.record(worker, offline);
         }
-        return said;
+        return result;
     }
 }
--- a/src/main/java/plumpost/control/ControlServer.java
+++ b/src/main/java/plumpost/control/ControlServer.java
@@ -24,20 +24,20 @@
  */
 public final class ControlServer implements Front {
     /** A call's body is empty; this is room for one that carries a few words. */
-    static final int BODY_LIMIT = 1024;
+    static final int MAX_BODY_BYTES = 1024;
     /** A whole call is due so long after connecting; callers are known to hold half a call for 4 s. */
-    static final double CALL_MS = 10_000;
+    static final double CALL_TIMEOUT_MS = 10_000;
 
-    static final double SWEEP_MS = 250;
-    private static final long UNREAD = 1 << 16;
-    private static final String PREFIX = "/control/workers/";
+    static final double SWEEP_INTERVAL_MS = 250;
+    private static final long MAX_UNREAD_BYTES = 1 << 16;
+    private static final String WORKERS_PATH = "/control/workers/";
 
-    private final InetSocketAddress at;
-    private final int places;
-    private final LoopContext kit;
-    private final Operations ops;
+    private final InetSocketAddress address;
+    private final int maxConnections;
+    private final LoopContext context;
+    private final Operations operations;
     /** Unfinished calls, oldest first. */
-    private final Set<Call> calls = new LinkedHashSet<>();
+    private final Set<CallHandler> openCalls = new LinkedHashSet<>();
 
     /** What the operators' calls reach. */
     public interface Operations {
@@ -45,56 +45,57 @@
         boolean ready();
 
         /** The figures, a statsd line each. */
-        String figures();
+        String statsdLines();
 
         /** Takes a node out by hand. */
-        Bans.Said offline(String node);
+        Bans.Said takeOffline(String worker);
 
         /** Calls a node back. */
-        Bans.Said online(String node);
+        Bans.Said bringOnline(String worker);
 
         /**
          * Takes a node out by hand or calls it back, and tells what came of it, at once or within a second: null and why
          * where it does not hold everywhere that it should.
          */
-        default void change(String node, boolean out, BiConsumer<Bans.Said, String> then) {
-            then.accept(out ? offline(node) : online(node), "");
+        default void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
+            onResult.accept(offline ? takeOffline(worker) : bringOnline(worker), "");
         }
     }
 
     /** A listener at an address with room for so many callers at once. */
-    public ControlServer(InetSocketAddress at, int places, LoopContext kit, Operations ops) {
-        this.at = at;
-        this.places = places;
-        this.kit = kit;
-        this.ops = ops;
-        kit.wheel().at(kit.clock().nowMs() + SWEEP_MS, this::sweep);
+    public ControlServer(InetSocketAddress address, int maxConnections, LoopContext context, Operations operations) {
+        this.address = address;
+        this.maxConnections = maxConnections;
+        this.context = context;
+        this.operations = operations;
+        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     @Override
     public String open(Listeners listeners) throws IOException {
-        return "control " + listeners.listen(at, this::accept, places, false, UNREAD, this::shed);
+        return "control "
+                + listeners.listen(address, this::accept, maxConnections, false, MAX_UNREAD_BYTES, this::shed);
     }
 
     /** Takes a caller's connection in. */
-    public ConnectionHandler accept(Connection wire) {
-        Call c = new Call(wire, kit.clock().nowMs());
-        calls.add(c);
-        return c;
+    public ConnectionHandler accept(Connection connection) {
+        CallHandler call = new CallHandler(connection, context.clock().nowMs());
+        openCalls.add(call);
+        return call;
     }
 
     /** Ends the oldest unfinished call, so that a newcomer finds a place; false where there is none. */
     public boolean shed() {
-        for (Call c : calls) {
-            kit.counters().count("control.shed");
-            c.cut();
+        for (CallHandler call : openCalls) {
+            context.counters().count("control.shed");
+            call.cut();
             return true;
         }
         return false;
     }
 
     @Override
-    public void stop(double heardAtMs, double newcomersMs) {
+    public void stop(double signalledAtMs, double newConnectionGraceMs) {
         // Calls are still answered while the process drains; ready says no from now on.
     }
 
@@ -105,116 +106,118 @@
     }
 
     private void sweep() {
-        double now = kit.clock().nowMs();
-        for (Call c : List.copyOf(calls)) {
-            if (now - c.since <= CALL_MS) {
+        double nowMs = context.clock().nowMs();
+        for (CallHandler call : List.copyOf(openCalls)) {
+            if (nowMs - call.openedAtMs <= CALL_TIMEOUT_MS) {
                 break; // the set is in the order of arrival
             }
-            kit.counters().count("control.slow");
-            c.cut();
+            context.counters().count("control.slow");
+            call.cut();
         }
-        kit.wheel().at(now + SWEEP_MS, this::sweep);
+        context.wheel().at(nowMs + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** One caller's connection: bytes in, one answer out. */
-    private final class Call implements ConnectionHandler {
-        private final Connection wire;
-        private final double since;
-        private final RequestReader reader = new RequestReader(BODY_LIMIT);
-        private boolean over;
-
-        Call(Connection wire, double since) {
-            this.wire = wire;
-            this.since = since;
+    private final class CallHandler implements ConnectionHandler {
+        private final Connection connection;
+        private final double openedAtMs;
+        private final RequestReader reader = new RequestReader(MAX_BODY_BYTES);
+        private boolean finished;
+
+        CallHandler(Connection connection, double openedAtMs) {
+            this.connection = connection;
+            this.openedAtMs = openedAtMs;
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
-            if (over) {
+        public void bytes(ByteBuffer input) {
+            if (finished) {
                 return; // one call a connection: what follows the call is not read
             }
             try {
-                if (reader.feed(in)) {
-                    call();
+                if (reader.feed(input)) {
+                    handleCall();
                 }
             } catch (BadMessage e) {
-                answer(e.status(), e.getMessage() + "\n", "");
+                respond(e.status(), e.getMessage() + "\n", "");
             }
         }
 
-        private void call() {
-            kit.counters().count("control.calls");
+        private void handleCall() {
+            context.counters().count("control.calls");
             String method = reader.method();
             String path = reader.path();
             if (path.equals("/control/ready")) {
-                if (only("GET", method)) {
-                    boolean yes = ops.ready();
-                    answer(yes ? 200 : 503, yes ? "ready\n" : "not ready\n", "");
+                if (requireMethod("GET", method)) {
+                    boolean ready = operations.ready();
+                    respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "");
                 }
             } else if (path.equals("/control/counters")) {
-                if (only("GET", method)) {
-                    answer(200, ops.figures(), "Content-Type: text/plain\r\n");
+                if (requireMethod("GET", method)) {
+                    respond(200, operations.statsdLines(), "Content-Type: text/plain\r\n");
                 }
-            } else if (path.startsWith(PREFIX)) {
-                worker(method, path.substring(PREFIX.length()));
+            } else if (path.startsWith(WORKERS_PATH)) {
+                handleWorkerCall(method, path.substring(WORKERS_PATH.length()));
             } else {
-                answer(404, "no such call\n", "");
+                respond(404, "no such call\n", "");
             }
         }
 
-        private void worker(String method, String rest) {
-            int slash = rest.lastIndexOf('/');
-            String id = slash < 0 ? "" : rest.substring(0, slash);
-            String what = slash < 0 ? "" : rest.substring(slash + 1);
-            boolean out = what.equals("offline");
-            if (!out && !what.equals("online") || !Bans.isId(id) || id.indexOf('/') >= 0) {
-                answer(404, "no such call\n", "");
-            } else if (only("POST", method)) {
-                ops.change(id, out, (said, why) -> {
-                    kit.counters()
-                            .count("control." + what + "."
-                                    + (said == null ? "not_agreed" : said.name().toLowerCase(java.util.Locale.ROOT)));
-                    if (said == null) {
-                        answer(503, why + "\n", "");
-                    } else if (said == Bans.Said.UNKNOWN) {
-                        answer(404, "no worker " + id + " is known here\n", "");
+        private void handleWorkerCall(String method, String target) {
+            int slash = target.lastIndexOf('/');
+            String id = slash < 0 ? "" : target.substring(0, slash);
+            String action = slash < 0 ? "" : target.substring(slash + 1);
+            boolean offline = action.equals("offline");
+            if (!offline && !action.equals("online") || !Bans.isId(id) || id.indexOf('/') >= 0) {
+                respond(404, "no such call\n", "");
+            } else if (requireMethod("POST", method)) {
+                operations.changeBan(id, offline, (result, reason) -> {
+                    context.counters()
+                            .count("control." + action + "."
+                                    + (result == null
+                                            ? "not_agreed"
+                                            : result.name().toLowerCase(java.util.Locale.ROOT)));
+                    if (result == null) {
+                        respond(503, reason + "\n", "");
+                    } else if (result == Bans.Said.UNKNOWN) {
+                        respond(404, "no worker " + id + " is known here\n", "");
                     } else {
-                        answer(200, "worker " + id + (out ? " is out\n" : " is in\n"), "");
+                        respond(200, "worker " + id + (offline ? " is out\n" : " is in\n"), "");
                     }
                 });
             }
         }
 
-        private boolean only(String allowed, String method) {
+        private boolean requireMethod(String allowed, String method) {
             if (allowed.equals(method)) {
                 return true;
             }
-            answer(405, "use " + allowed + "\n", "Allow: " + allowed + "\r\n");
+            respond(405, "use " + allowed + "\n", "Allow: " + allowed + "\r\n");
             return false;
         }
 
-        private void answer(int status, String body, String fields) {
-            if (over) {
+        private void respond(int status, String body, String fields) {
+            if (finished) {
                 return;
             }
-            over = true;
-            calls.remove(this);
-            kit.counters().count("control.answers." + status);
-            ByteBuffer words = Answers.ascii(body);
-            wire.write(Answers.head(status, words.remaining(), true, fields), words);
-            wire.finish();
+            finished = true;
+            openCalls.remove(this);
+            context.counters().count("control.answers." + status);
+            ByteBuffer content = Answers.ascii(body);
+            connection.write(Answers.head(status, content.remaining(), true, fields), content);
+            connection.finish();
         }
 
         void cut() {
-            over = true;
-            calls.remove(this);
-            wire.cut();
+            finished = true;
+            openCalls.remove(this);
+            connection.cut();
         }
 
         @Override
         public void ended() {
-            over = true;
-            calls.remove(this);
+            finished = true;
+            openCalls.remove(this);
         }
     }
 }
--- a/src/main/java/plumpost/control/SharedBans.java
+++ b/src/main/java/plumpost/control/SharedBans.java
@@ -21,95 +21,96 @@
  */
 public final class SharedBans {
     /** How often the file is looked at: well within the 400 ms in which a node must get nothing new. */
-    static final double LOOK_MS = 100;
+    static final double POLL_INTERVAL_MS = 100;
     /** More than any set of bans can fill: what is longer was not written by a scheduler. */
-    static final long MOST_BYTES = 1 << 20;
+    static final long MAX_FILE_BYTES = 1 << 20;
 
-    static final String NAME = "plumpost-bans";
+    static final String FILE_NAME = "plumpost-bans";
 
     private final Path file;
-    private final DispatchCore room;
-    private final LoopContext kit;
-    private final Outage writing;
-    private final Outage reading;
+    private final DispatchCore core;
+    private final LoopContext context;
+    private final Outage writeOutage;
+    private final Outage readOutage;
     /** Changes that the file does not hold yet: whether each worker was taken out or called back. */
     private final Map<String, Boolean> unwritten = new LinkedHashMap<>();
 
-    private String last = "";
+    private String lastText = "";
 
     /** Bans kept in a file of the shared directory. */
-    public SharedBans(Path directory, DispatchCore room, LoopContext kit) {
-        this.file = directory.resolve(NAME);
-        this.room = room;
-        this.kit = kit;
-        this.writing = new Outage("bans.file_unwritten", "bans cannot be written for the next process", kit);
-        this.reading = new Outage("bans.file_unread", "bans of the other process cannot be read", kit);
+    public SharedBans(Path directory, DispatchCore core, LoopContext context) {
+        this.file = directory.resolve(FILE_NAME);
+        this.core = core;
+        this.context = context;
+        this.writeOutage = new Outage("bans.file_unwritten", "bans cannot be written for the next process", context);
+        this.readOutage = new Outage("bans.file_unread", "bans of the other process cannot be read", context);
     }
 
     /** Takes over what an earlier process left, and from now on looks at the file at intervals. */
-    public void begin() {
-        look();
-        kit.wheel().at(kit.clock().nowMs() + LOOK_MS, this::again);
+    public void start() {
+        refresh();
+        context.wheel().at(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
     }
 
-    private void again() {
-        kit.wheel().at(kit.clock().nowMs() + LOOK_MS, this::again);
-        look();
+    private void poll() {
+        context.wheel().at(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
+        refresh();
         if (!unwritten.isEmpty()) {
             write();
         }
     }
 
     /** Takes over the file's bans where another process has changed them since this one last read or wrote it. */
-    public void look() {
+    public void refresh() {
         String text;
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                reading.began("over " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                readOutage.failed("over " + MAX_FILE_BYTES + " bytes");
                 return;
             }
             text = Files.readString(file, StandardCharsets.US_ASCII);
         } catch (NoSuchFileException e) {
-            reading.ended();
+            readOutage.recovered();
             return;
         } catch (IOException | RuntimeException e) {
-            reading.began(e.toString());
+            readOutage.failed(e.toString());
             return;
         }
-        reading.ended();
-        if (!text.equals(last)) {
-            last = text;
-            if (room.handOver(text)) {
-                kit.counters().count("bans.handed_over");
-                kit.log().accept("bans handed over: " + text.replace('\n', ' ').strip());
+        readOutage.recovered();
+        if (!text.equals(lastText)) {
+            lastText = text;
+            if (core.handOver(text)) {
+                context.counters().count("bans.handed_over");
+                context.log()
+                        .accept("bans handed over: " + text.replace('\n', ' ').strip());
             }
-            unwritten.forEach(room::banned); // the other process did not know of these
+            unwritten.forEach(core::banned); // the other process did not know of these
         }
     }
 
     /** A worker was taken out here or called back: writes that for the other process, now or as soon as that works. */
-    public void changed(String worker, boolean out) {
-        unwritten.put(worker, out);
+    public void record(String worker, boolean offline) {
+        unwritten.put(worker, offline);
         write();
     }
 
     /** Whether the file holds all that was changed here; only then is a change acknowledged. */
-    public boolean kept() {
+    public boolean isSaved() {
         return unwritten.isEmpty();
     }
 
     private void write() {
-        String text = room.bansText();
-        Path half = file.resolveSibling(NAME + ".new");
+        String text = core.bansText();
+        Path partial = file.resolveSibling(FILE_NAME + ".new");
         try {
-            Files.writeString(half, text, StandardCharsets.US_ASCII);
-            Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(partial, text, StandardCharsets.US_ASCII);
+            Files.move(partial, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException | RuntimeException e) {
-            writing.began(e.toString());
+            writeOutage.failed(e.toString());
             return;
         }
-        writing.ended();
-        last = text;
+        writeOutage.recovered();
+        lastText = text;
         unwritten.clear();
     }
 }
--- a/src/main/java/plumpost/fleet/engine/DataDirectory.java
+++ b/src/main/java/plumpost/fleet/engine/DataDirectory.java
@@ -25,15 +25,15 @@
  * pass for the voter that it was and vote with what that one knew.
  */
 final class DataDirectory implements Closeable {
-    private static final String IDENTITY = "member.json";
-    private static final String MEMBER = "member";
+    private static final String IDENTITY_FILE = "member.json";
+    private static final String MEMBER_MARKER = "member";
     /** How the directory is laid out; the log's records have a format of their own. */
-    private static final int LAYOUT = 1;
+    private static final int LAYOUT_VERSION = 1;
 
     private final Path path;
     private final FileChannel lockFile;
     private final FileLock lock;
-    private final String disk;
+    private final String diskId;
 
     /** Takes a directory over, or makes it; bad input where it is another process's, scheduler's, fleet's or format's. */
     DataDirectory(Path path, String name, String group) throws IOException {
@@ -44,96 +44,98 @@
         } catch (IOException e) {
             throw new BadInput("peers.data " + path + " cannot be used: " + e);
         }
-        FileLock got;
+        FileLock acquired;
         try {
-            got = lockFile.tryLock();
+            acquired = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            got = null;
+            acquired = null;
         }
-        if (got == null) {
+        if (acquired == null) {
             lockFile.close();
             throw new BadInput("peers.data " + path + " belongs to another process that runs");
         }
-        lock = got;
+        lock = acquired;
         try {
-            Path identity = path.resolve(IDENTITY);
-            disk = Files.exists(identity) ? read(identity, name, group) : make(identity, name, group);
+            Path identity = path.resolve(IDENTITY_FILE);
+            diskId = Files.exists(identity)
+                    ? readIdentity(identity, name, group)
+                    : createIdentity(identity, name, group);
         } catch (IOException | RuntimeException e) {
             close();
             throw e;
         }
     }
 
-    private static String read(Path file, String name, String group) throws IOException {
-        Fields f = Json.object(file.toString(), Files.readAllBytes(file));
-        same(file, "name", f.text("name"), name);
-        same(file, "group", f.text("group"), group);
-        int format = f.whole("format");
-        if (format < 1 || format > LAYOUT) {
-            throw new BadInput(file + ": field format is " + format + ", this program reads 1 to " + LAYOUT);
+    private static String readIdentity(Path file, String name, String group) throws IOException {
+        Fields fields = Json.object(file.toString(), Files.readAllBytes(file));
+        requireSame(file, "name", fields.text("name"), name);
+        requireSame(file, "group", fields.text("group"), group);
+        int format = fields.whole("format");
+        if (format < 1 || format > LAYOUT_VERSION) {
+            throw new BadInput(file + ": field format is " + format + ", this program reads 1 to " + LAYOUT_VERSION);
         }
-        return f.text("disk");
+        return fields.text("disk");
     }
 
-    private static void same(Path file, String field, String is, String wanted) {
-        if (!is.equals(wanted)) {
-            throw new BadInput(file + ": field " + field + " is " + is + ", the configuration says " + wanted);
+    private static void requireSame(Path file, String field, String actual, String expected) {
+        if (!actual.equals(expected)) {
+            throw new BadInput(file + ": field " + field + " is " + actual + ", the configuration says " + expected);
         }
     }
 
-    private static String make(Path file, String name, String group) throws IOException {
+    private static String createIdentity(Path file, String name, String group) throws IOException {
         byte[] random = new byte[6];
         new SecureRandom().nextBytes(random);
-        String disk = HexFormat.of().formatHex(random);
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        try (JsonGenerator j = new JsonFactory().createGenerator(all)) {
-            j.writeStartObject();
-            j.writeStringField("name", name);
-            j.writeStringField("group", group);
-            j.writeStringField("disk", disk);
-            j.writeNumberField("format", LAYOUT);
-            j.writeEndObject();
+        String diskId = HexFormat.of().formatHex(random);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator json = new JsonFactory().createGenerator(bytes)) {
+            json.writeStartObject();
+            json.writeStringField("name", name);
+            json.writeStringField("group", group);
+            json.writeStringField("disk", diskId);
+            json.writeNumberField("format", LAYOUT_VERSION);
+            json.writeEndObject();
         }
-        Path half = file.resolveSibling(IDENTITY + ".new");
+        Path partial = file.resolveSibling(IDENTITY_FILE + ".new");
         try (FileChannel out = FileChannel.open(
-                half, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            for (ByteBuffer b = ByteBuffer.wrap(all.toByteArray()); b.hasRemaining(); ) {
-                out.write(b);
+                partial, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+            for (ByteBuffer buffer = ByteBuffer.wrap(bytes.toByteArray()); buffer.hasRemaining(); ) {
+                out.write(buffer);
             }
             out.force(true);
         }
-        Files.move(half, file, StandardCopyOption.ATOMIC_MOVE);
-        sync(file.getParent());
-        return disk;
+        Files.move(partial, file, StandardCopyOption.ATOMIC_MOVE);
+        syncDirectory(file.getParent());
+        return diskId;
     }
 
     /** A file's name must outlive a crash as surely as its content. */
-    private static void sync(Path folder) throws IOException {
-        try (FileChannel f = FileChannel.open(folder, StandardOpenOption.READ)) {
-            f.force(true);
+    private static void syncDirectory(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
     /** Its identity. */
-    String disk() {
-        return disk;
+    String diskId() {
+        return diskId;
     }
 
     /** Remembers that the log has named this directory: from now on the log must never be missing. */
-    void member() throws IOException {
+    void markMember() throws IOException {
         if (!wasMember()) {
-            Files.createFile(path.resolve(MEMBER));
-            sync(path);
+            Files.createFile(path.resolve(MEMBER_MARKER));
+            syncDirectory(path);
         }
     }
 
     /** Whether the log has named this directory once. */
     boolean wasMember() {
-        return Files.exists(path.resolve(MEMBER));
+        return Files.exists(path.resolve(MEMBER_MARKER));
     }
 
     /** Where the engine keeps its log. */
-    Path log() {
+    Path logPath() {
         return path.resolve("log");
     }
 
--- a/src/main/java/plumpost/fleet/engine/Trials.java
+++ b/src/main/java/plumpost/fleet/engine/Failpoints.java
@@ -21,23 +21,23 @@
  * process's loop stands still when it comes there; while {@code NAME.disk} holds a number, each sync of the log takes
  * so many milliseconds longer. In service there are none.
  */
-final class Trials {
-    private static final long LOOK_MS = 20;
+final class Failpoints {
+    private static final long POLL_INTERVAL_MS = 20;
 
-    private final Path halt;
-    private final Path disk;
-    private final Consumer<String> say;
+    private final Path haltFile;
+    private final Path diskFile;
+    private final Consumer<String> logLine;
 
-    private Trials(Path folder, String name, Consumer<String> say) {
-        halt = folder.resolve(name + ".halt");
-        disk = folder.resolve(name + ".disk");
-        this.say = say;
+    private Failpoints(Path directory, String name, Consumer<String> logLine) {
+        haltFile = directory.resolve(name + ".halt");
+        diskFile = directory.resolve(name + ".disk");
+        this.logLine = logLine;
     }
 
     /** Those of a scheduler whose process was started by the laboratory, or null. */
-    static Trials of(String name, Consumer<String> say) {
-        String folder = System.getProperty("plumpost.lab");
-        return folder == null ? null : new Trials(Path.of(folder), name, say);
+    static Failpoints create(String name, Consumer<String> logLine) {
+        String directory = System.getProperty("plumpost.lab");
+        return directory == null ? null : new Failpoints(Path.of(directory), name, logLine);
     }
 
     private static String read(Path file) {
@@ -48,133 +48,133 @@
         }
     }
 
-    private void at(String boundary) {
-        if (!read(halt).equals(boundary)) {
+    private void haltAt(String boundary) {
+        if (!read(haltFile).equals(boundary)) {
             return;
         }
-        say.accept("fleet: lab: halts " + boundary);
+        logLine.accept("fleet: lab: halts " + boundary);
         try {
-            while (read(halt).equals(boundary)) {
-                Thread.sleep(LOOK_MS);
+            while (read(haltFile).equals(boundary)) {
+                Thread.sleep(POLL_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        say.accept("fleet: lab: goes on " + boundary);
+        logLine.accept("fleet: lab: goes on " + boundary);
     }
 
-    private static String kind(Entry e) {
-        return e instanceof Entry.Leave l
-                ? l.last() ? "Left" : "Leave"
-                : e.getClass().getSimpleName();
+    private static String entryName(Entry entry) {
+        return entry instanceof Entry.Leave leave
+                ? leave.last() ? "Left" : "Leave"
+                : entry.getClass().getSimpleName();
     }
 
     /** A log whose entries are halted on their way in, once whoever proposes has checked all that it checks. */
-    FleetLog log(FleetLog log) {
+    FleetLog wrapLog(FleetLog delegate) {
         return new FleetLog() {
             @Override
-            public void propose(Entry e, Consumer<Outcome> then) {
-                at("before " + kind(e));
-                log.propose(e, then);
+            public void propose(Entry entry, Consumer<Outcome> onOutcome) {
+                haltAt("before " + entryName(entry));
+                delegate.propose(entry, onOutcome);
             }
 
             @Override
-            public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> then) {
-                log.beat(name, incarnation, deafMs, then);
+            public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> onResult) {
+                delegate.beat(name, incarnation, deafMs, onResult);
             }
 
             @Override
             public double behindMs() {
-                return log.behindMs();
+                return delegate.behindMs();
             }
 
             @Override
             public long syncs() {
-                return log.syncs();
+                return delegate.syncs();
             }
 
             @Override
             public void close() {
-                log.close();
+                delegate.close();
             }
         };
     }
 
     /** An ear that is halted between an entry's agreement and what is done about it here. */
-    FleetLog.Ear ear(FleetLog.Ear ear) {
+    FleetLog.Ear wrapListener(FleetLog.Ear delegate) {
         return new FleetLog.Ear() {
             @Override
-            public void applied(Entry e, long term) {
-                at("after " + kind(e));
-                ear.applied(e, term);
+            public void applied(Entry entry, long term) {
+                haltAt("after " + entryName(entry));
+                delegate.applied(entry, term);
             }
 
             @Override
             public void restored(FleetBook.Image image) {
-                ear.restored(image);
+                delegate.restored(image);
             }
 
             @Override
             public void started() {
-                ear.started();
+                delegate.started();
             }
 
             @Override
-            public void halted(String why) {
-                ear.halted(why);
+            public void halted(String reason) {
+                delegate.halted(reason);
             }
         };
     }
 
     /** A scheduler that is halted just before and just after it takes a job over, all checks done. */
-    Host host(Host host) {
+    Host wrapHost(Host delegate) {
         return new Host() {
             @Override
-            public void banned(String node, boolean out) {
-                host.banned(node, out);
+            public void banned(String node, boolean offline) {
+                delegate.banned(node, offline);
             }
 
             @Override
             public Collection<String> functions() {
-                return host.functions();
+                return delegate.functions();
             }
 
             @Override
             public boolean run(Fleet.Job job) {
-                at("before run");
-                boolean taken = host.run(job);
-                at("after run");
+                haltAt("before run");
+                boolean taken = delegate.run(job);
+                haltAt("after run");
                 return taken;
             }
 
             @Override
             public void callBack(String id) {
-                host.callBack(id);
+                delegate.callBack(id);
             }
 
             @Override
             public void told(String line) {
-                host.told(line);
+                delegate.told(line);
             }
 
             @Override
             public void ask(boolean itself, boolean whole) {
-                host.ask(itself, whole);
+                delegate.ask(itself, whole);
             }
 
             @Override
             public boolean hears() {
-                return host.hears();
+                return delegate.hears();
             }
         };
     }
 
     /** Done when the disk has synced, as slowly as it is to. */
-    CompletableFuture<Void> synced() {
-        String ms = read(disk);
-        CompletableFuture<Void> done = new CompletableFuture<>();
-        return ms.isEmpty()
+    CompletableFuture<Void> delaySync() {
+        String delayMs = read(diskFile);
+        CompletableFuture<Void> synced = new CompletableFuture<>();
+        return delayMs.isEmpty()
                 ? CompletableFuture.completedFuture(null)
-                : done.completeOnTimeout(null, Long.parseLong(ms), TimeUnit.MILLISECONDS);
+                : synced.completeOnTimeout(null, Long.parseLong(delayMs), TimeUnit.MILLISECONDS);
     }
 }
--- /dev/null
+++ b/src/main/java/plumpost/fleet/engine/FleetJson.java
@@ -0,0 +1,74 @@
+package plumpost.fleet.engine;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.io.StringWriter;
+import java.util.Collection;
+import plumpost.fleet.Duties.Duty;
+import plumpost.fleet.FleetBook;
+import plumpost.fleet.Plans;
+import plumpost.fleet.Sessions.Session;
+
+/** What {@code fleet show --json} prints: members, duties, bans and the schedule, as the fleet has agreed on them. */
+final class FleetJson {
+    private FleetJson() {}
+
+    static String format(FleetBook state, String leader) {
+        StringWriter text = new StringWriter();
+        try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
+            json.writeStartObject();
+            json.writeStringField("leader", leader);
+            json.writeNumberField("format", state.sessions().format());
+            json.writeArrayFieldStart("members");
+            for (Session session : state.sessions().all()) {
+                json.writeStartObject();
+                json.writeStringField("name", session.name());
+                json.writeStringField("state", session.state().name().toLowerCase(java.util.Locale.ROOT));
+                json.writeNumberField("incarnation", session.incarnation());
+                json.writeStringField("site", session.site());
+                json.writeNumberField("reads", session.reads());
+                json.writeBooleanField("vote", session.vote());
+                writeStrings(json, "functions", session.functions());
+                json.writeEndObject();
+            }
+            json.writeEndArray();
+            json.writeArrayFieldStart("duties");
+            for (Duty duty : state.duties().all()) {
+                json.writeStartObject();
+                json.writeStringField("name", duty.name());
+                json.writeStringField("owner", duty.owner());
+                json.writeNumberField("fence", duty.fence());
+                json.writeStringField("site", duty.site());
+                json.writeEndObject();
+            }
+            json.writeEndArray();
+            writeStrings(json, "offline", state.bans());
+            json.writeObjectFieldStart("schedule");
+            for (Plans.State plannedState : Plans.State.values()) {
+                if (plannedState != Plans.State.ENDED) {
+                    json.writeNumberField(
+                            plannedState.name().toLowerCase(java.util.Locale.ROOT),
+                            state.plans().all().stream()
+                                    .filter(p -> p.state() == plannedState)
+                                    .count());
+                }
+            }
+            json.writeNumberField("ended", state.plans().ended());
+            writeStrings(json, "givenUp", state.plans().givenUp());
+            json.writeEndObject();
+            json.writeEndObject();
+        } catch (IOException e) {
+            throw new IllegalStateException(e); // a string takes everything
+        }
+        return text.toString();
+    }
+
+    private static void writeStrings(JsonGenerator json, String name, Collection<String> values) throws IOException {
+        json.writeArrayFieldStart(name);
+        for (String value : values) {
+            json.writeString(value);
+        }
+        json.writeEndArray();
+    }
+}
--- a/src/main/java/plumpost/fleet/engine/FleetMaker.java
+++ b/src/main/java/plumpost/fleet/engine/FleetMaker.java
@@ -36,90 +36,100 @@
     }
 
     @Override
-    public Fleet make(PeersConfig config, Host host, LoopContext kit, Consumer<Runnable> loop) {
-        DataDirectory data;
+    public Fleet make(PeersConfig config, Host host, LoopContext context, Consumer<Runnable> loop) {
+        DataDirectory dataDirectory;
         try {
-            data = new DataDirectory(config.data(), config.self().name(), config.group());
+            dataDirectory = new DataDirectory(config.data(), config.self().name(), config.group());
         } catch (IOException e) {
             throw new BadInput("peers.data " + config.data() + " cannot be used: " + e);
         }
         byte[] nonce = new byte[8];
         new SecureRandom().nextBytes(nonce);
-        Trials trials = Trials.of(config.self().name(), kit.log());
+        Failpoints failpoints = Failpoints.create(config.self().name(), context.log());
         Member member = new Member(
                 config,
                 HexFormat.of().formatHex(nonce),
-                data.disk(),
+                dataDirectory.diskId(),
                 config.asks(),
-                trials == null ? host : trials.host(host),
-                kit.clock(),
-                kit.unixTime(),
-                kit.wheel(),
-                kit.counters(),
-                kit.log());
-        RatisLog log = new RatisLog(
-                config, data, trials == null ? member : trials.ear(member), loop::accept, kit.log(), trials);
-        member.on(trials == null ? log : trials.log(log));
-        log.start();
+                failpoints == null ? host : failpoints.wrapHost(host),
+                context.clock(),
+                context.unixTime(),
+                context.wheel(),
+                context.counters(),
+                context.log());
+        RatisLog fleetLog = new RatisLog(
+                config,
+                dataDirectory,
+                failpoints == null ? member : failpoints.wrapListener(member),
+                loop::accept,
+                context.log(),
+                failpoints);
+        member.on(failpoints == null ? fleetLog : failpoints.wrapLog(fleetLog));
+        fleetLog.start();
         return member;
     }
 
     @Override
     public String call(PeersConfig config, String command, String argument) {
         Thread.currentThread().setContextClassLoader(FleetMaker.class.getClassLoader());
-        PeerNames.know(config);
-        StringBuilder why = new StringBuilder();
-        for (PeersConfig.Member m : config.members()) {
+        PeerNameResolver.registerAddresses(config);
+        StringBuilder failures = new StringBuilder();
+        for (PeersConfig.Member candidate : config.members()) {
             try {
-                RaftGroup group = Engine.ask(Engine.group(config.group()), m);
+                RaftGroup group = RatisSetup.queryGroup(RatisSetup.groupId(config.group()), candidate);
                 if (group == null || group.getPeers().isEmpty()) {
-                    why.append("; ").append(m.name()).append(" is in no fleet ").append(config.group());
+                    failures.append("; ")
+                            .append(candidate.name())
+                            .append(" is in no fleet ")
+                            .append(config.group());
                     continue;
                 }
-                try (RaftClient c = Engine.client(group, 20)) {
-                    return call(c, command, argument);
+                try (RaftClient client = RatisSetup.client(group, 20)) {
+                    return call(client, command, argument);
                 }
             } catch (IOException | RuntimeException e) {
                 if (e instanceof BadInput) {
                     throw (BadInput) e;
                 }
-                why.append("; ").append(m.name()).append(": ").append(e.getMessage());
+                failures.append("; ").append(candidate.name()).append(": ").append(e.getMessage());
             }
         }
-        throw new BadInput("fleet " + config.group() + ": no member answers" + why);
+        throw new BadInput("fleet " + config.group() + ": no member answers" + failures);
     }
 
-    private static String call(RaftClient c, String command, String argument) throws IOException {
-        String page = answer(c.io().sendReadOnly(Message.valueOf("show"))).toStringUtf8();
+    private static String call(RaftClient client, String command, String argument) throws IOException {
+        String json = successfulContent(client.io().sendReadOnly(Message.valueOf("show")))
+                .toStringUtf8();
         if (command.equals("show")) {
-            return page;
+            return json;
         }
         Entry e;
         if (command.equals("yield")) {
             List<?> duties =
-                    Json.object("fleet", page.getBytes(StandardCharsets.UTF_8)).list("duties");
+                    Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).list("duties");
             Map<?, ?> duty = duties.stream()
-                    .map(d -> (Map<?, ?>) d)
-                    .filter(d -> argument.equals(d.get("name")))
+                    .map(entry -> (Map<?, ?>) entry)
+                    .filter(entry -> argument.equals(entry.get("name")))
                     .findFirst()
                     .orElseThrow(() -> new BadInput("fleet yield: no duty " + argument));
             e = new Entry.Yield(argument, ((Number) duty.get("fence")).longValue());
         } else {
             e = new Entry.Remove(argument);
         }
-        int format = Json.object("fleet", page.getBytes(StandardCharsets.UTF_8)).whole("format");
-        ByteString reply = answer(c.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)))));
-        Outcome o = FleetCodec.outcome(reply.toByteArray());
-        if (!o.done()) {
-            throw new BadInput("fleet " + command + ": " + o.words());
+        int format = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).whole("format");
+        ByteString reply =
+                successfulContent(client.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)))));
+        Outcome outcome = FleetCodec.outcome(reply.toByteArray());
+        if (!outcome.done()) {
+            throw new BadInput("fleet " + command + ": " + outcome.words());
         }
-        return command.equals("yield") ? argument + " passed on, fence " + o.number() : argument + " removed";
+        return command.equals("yield") ? argument + " passed on, fence " + outcome.number() : argument + " removed";
     }
 
-    private static ByteString answer(RaftClientReply r) throws IOException {
-        if (!r.isSuccess()) {
-            throw r.getException();
+    private static ByteString successfulContent(RaftClientReply reply) throws IOException {
+        if (!reply.isSuccess()) {
+            throw reply.getException();
         }
-        return r.getMessage().getContent();
+        return reply.getMessage().getContent();
     }
 }
--- a/src/main/java/plumpost/fleet/engine/BookMachine.java
+++ b/src/main/java/plumpost/fleet/engine/FleetStateMachine.java
@@ -39,36 +39,36 @@
 import plumpost.fleet.Outcome;
 
 /** The engine's side of the book: applies the log to it, keeps its snapshots, and tells what was applied. */
-final class BookMachine extends BaseStateMachine {
+final class FleetStateMachine extends BaseStateMachine {
     /** Hears of the log on the engine's threads. */
     interface Listener {
-        void applied(Entry e, long term);
+        void applied(Entry entry, long term);
 
         void restored(FleetBook.Image image);
 
-        void halted(String why);
+        void halted(String reason);
 
         /** Why an entry may not be proposed now, or null: asked at the leader only. */
-        String refuses(Entry e);
+        String refusalReason(Entry entry);
     }
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-    private final FleetBook book = new FleetBook();
+    private final FleetBook state = new FleetBook();
     private final Listener listener;
-    private final Function<String, String> questions;
-    private final LongAdder syncs = new LongAdder();
-    private final DataApi data;
+    private final Function<String, String> queryHandler;
+    private final LongAdder syncCount = new LongAdder();
+    private final DataApi dataApi;
     private boolean halted;
 
     /** A machine whose questions (reads at the leader) are answered by the given function, under its lock; trials may be null. */
-    BookMachine(Listener listener, Function<String, String> questions, Trials trials) {
+    FleetStateMachine(Listener listener, Function<String, String> queryHandler, Failpoints failpoints) {
         this.listener = listener;
-        this.questions = questions;
-        data = new DataApi() {
+        this.queryHandler = queryHandler;
+        dataApi = new DataApi() {
             @Override
             public CompletableFuture<Void> flush(long index) {
-                syncs.increment();
-                return trials == null ? CompletableFuture.completedFuture(null) : trials.synced();
+                syncCount.increment();
+                return failpoints == null ? CompletableFuture.completedFuture(null) : failpoints.delaySync();
             }
         };
     }
@@ -76,17 +76,17 @@
     /** Hears of each sync of the log, which waits for the answer too: the laboratory makes a disk slow here. */
     @Override
     public DataApi data() {
-        return data;
+        return dataApi;
     }
 
     /** How often the log was synced. */
-    long syncs() {
-        return syncs.sum();
+    long syncCount() {
+        return syncCount.sum();
     }
 
     /** The book; touched only while this machine's lock is held. */
-    FleetBook book() {
-        return book;
+    FleetBook state() {
+        return state;
     }
 
     @Override
@@ -96,15 +96,15 @@
                 .startAndTransition(
                         () -> {
                             storage.init(raft);
-                            load(storage.getLatestSnapshot());
+                            loadSnapshot(storage.getLatestSnapshot());
                         },
                         IOException.class);
     }
 
     /** The index of the last entry that is in the book. */
-    long at() {
-        TermIndex at = getLastAppliedTermIndex();
-        return at == null ? 0 : at.getIndex();
+    long lastAppliedIndex() {
+        TermIndex lastApplied = getLastAppliedTermIndex();
+        return lastApplied == null ? 0 : lastApplied.getIndex();
     }
 
     /** The engine installs a snapshot: until {@link #reinitialize} nothing is applied. */
@@ -116,30 +116,30 @@
 
     @Override
     public void reinitialize() throws IOException {
-        load(storage.loadLatestSnapshot());
+        loadSnapshot(storage.loadLatestSnapshot());
         if (getLifeCycleState() == LifeCycle.State.PAUSED) {
             getLifeCycle().transition(LifeCycle.State.STARTING);
             getLifeCycle().transition(LifeCycle.State.RUNNING);
         }
     }
 
-    private synchronized void load(SingleFileSnapshotInfo snapshot) throws IOException {
+    private synchronized void loadSnapshot(SingleFileSnapshotInfo snapshot) throws IOException {
         if (snapshot == null) {
             return;
         }
         File file = snapshot.getFile().getPath().toFile();
-        MD5Hash told = snapshot.getFile().getFileDigest();
-        if (told != null && !told.equals(MD5FileUtil.computeMd5ForFile(file))) {
+        MD5Hash expectedDigest = snapshot.getFile().getFileDigest();
+        if (expectedDigest != null && !expectedDigest.equals(MD5FileUtil.computeMd5ForFile(file))) {
             throw new IOException("the snapshot " + file + " is damaged: its digest is another");
         }
         try (InputStream in = new BufferedInputStream(new FileInputStream(file))) {
-            book.restore(FleetCodec.snapshot(in));
+            state.restore(FleetCodec.snapshot(in));
         } catch (FleetCodec.Unreadable e) {
             halt(e.getMessage() + ", in " + file);
             throw e;
         }
         setLastAppliedTermIndex(SimpleStateMachineStorage.getTermIndexFromSnapshotFile(file));
-        listener.restored(book.image());
+        listener.restored(state.image());
     }
 
     @Override
@@ -149,65 +149,66 @@
 
     @Override
     public long takeSnapshot() throws IOException {
-        TermIndex at;
+        TermIndex lastApplied;
         FleetBook copy = new FleetBook();
         synchronized (this) {
-            at = getLastAppliedTermIndex();
-            if (halted || at == null || at.getIndex() < 0) {
+            lastApplied = getLastAppliedTermIndex();
+            if (halted || lastApplied == null || lastApplied.getIndex() < 0) {
                 return -1;
             }
-            copy.restore(book.image());
+            copy.restore(state.image());
         }
-        File file = storage.getSnapshotFile(at.getTerm(), at.getIndex());
-        File half = new File(file.getPath() + ".half");
-        try (FileOutputStream out = new FileOutputStream(half)) {
+        File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
+        File partial = new File(file.getPath() + ".half");
+        try (FileOutputStream out = new FileOutputStream(partial)) {
             BufferedOutputStream buffered = new BufferedOutputStream(out);
             FleetCodec.write(copy, buffered);
             buffered.flush();
             out.getFD().sync();
         }
-        Files.move(half.toPath(), file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                partial.toPath(), file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
-        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), at));
-        return at.getIndex();
+        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), lastApplied));
+        return lastApplied.getIndex();
     }
 
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) throws IOException {
-        TransactionContext t = super.startTransaction(request);
+        TransactionContext transaction = super.startTransaction(request);
         try {
-            String why = listener.refuses(
+            String reason = listener.refusalReason(
                     FleetCodec.entry(request.getMessage().getContent().toByteArray()));
-            if (why != null) {
-                t.setException(new StateMachineException(why, null, false));
+            if (reason != null) {
+                transaction.setException(new StateMachineException(reason, null, false));
             }
         } catch (FleetCodec.Unreadable e) {
-            t.setException(new StateMachineException(e.getMessage(), e, false)); // before it is in the log
+            transaction.setException(new StateMachineException(e.getMessage(), e, false)); // before it is in the log
         }
-        return t;
+        return transaction;
     }
 
     @Override
-    public CompletableFuture<Message> applyTransaction(TransactionContext t) {
-        LogEntryProto log = t.getLogEntry();
-        byte[] bytes = log.getStateMachineLogEntry().getLogData().toByteArray();
-        Outcome o;
+    public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
+        LogEntryProto logEntry = transaction.getLogEntry();
+        byte[] bytes = logEntry.getStateMachineLogEntry().getLogData().toByteArray();
+        Outcome outcome;
         synchronized (this) {
             if (halted) {
                 return new CompletableFuture<>(); // the book stands still: what follows must not be applied to it
             }
             try {
                 Entry e = FleetCodec.entry(bytes);
-                List<News> news = new ArrayList<>();
-                o = book.apply(e, log.getTerm(), news);
-                updateLastAppliedTermIndex(log.getTerm(), log.getIndex());
-                listener.applied(e, log.getTerm());
+                List<News> events = new ArrayList<>();
+                outcome = state.apply(e, logEntry.getTerm(), events);
+                updateLastAppliedTermIndex(logEntry.getTerm(), logEntry.getIndex());
+                listener.applied(e, logEntry.getTerm());
             } catch (FleetCodec.Unreadable e) {
-                halt(e.getMessage() + ", at " + log.getTerm() + ":" + log.getIndex() + " of the log");
+                halt(e.getMessage() + ", at " + logEntry.getTerm() + ":" + logEntry.getIndex() + " of the log");
                 return new CompletableFuture<>();
             }
         }
-        return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(o))));
+        return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(outcome))));
     }
 
     /** The engine closes the log that it cannot write, but would go on leading: the fleet would wait for it for good. */
@@ -216,16 +217,16 @@
         listener.halted("its log cannot be written: " + cause);
     }
 
-    private void halt(String why) {
+    private void halt(String reason) {
         halted = true;
-        listener.halted(why);
+        listener.halted(reason);
     }
 
     @Override
-    public CompletableFuture<Message> query(Message question) {
+    public CompletableFuture<Message> query(Message query) {
         synchronized (this) {
             return CompletableFuture.completedFuture(
-                    Message.valueOf(questions.apply(question.getContent().toStringUtf8())));
+                    Message.valueOf(queryHandler.apply(query.getContent().toStringUtf8())));
         }
     }
 }
--- a/src/main/java/plumpost/fleet/engine/Membership.java
+++ b/src/main/java/plumpost/fleet/engine/Membership.java
@@ -24,71 +24,73 @@
  */
 final class Membership {
     private final PeersConfig config;
-    private final DataDirectory data;
-    private final RaftGroupId id;
+    private final DataDirectory dataDirectory;
+    private final RaftGroupId groupId;
     private final RaftPeer self;
     private final RaftServer server;
-    private final Consumer<String> say;
+    private final Consumer<String> logLine;
 
     Membership(
             PeersConfig config,
-            DataDirectory data,
-            RaftGroupId id,
+            DataDirectory dataDirectory,
+            RaftGroupId groupId,
             RaftPeer self,
             RaftServer server,
-            Consumer<String> say) {
+            Consumer<String> logLine) {
         this.config = config;
-        this.data = data;
-        this.id = id;
+        this.dataDirectory = dataDirectory;
+        this.groupId = groupId;
         this.self = self;
         this.server = server;
-        this.say = say;
+        this.logLine = logLine;
     }
 
     /** Why this directory can never be a member again, or null. */
-    String lost() {
-        return !has() && data.wasMember()
-                ? "the log of " + self.getId() + " is gone from " + data.log()
+    String lostReason() {
+        return !hasGroup() && dataDirectory.wasMember()
+                ? "the log of " + self.getId() + " is gone from " + dataDirectory.logPath()
                         + " and the rest is there: it must not vote with what it forgot; remove the whole directory, and it joins as "
                         + "another"
                 : null;
     }
 
     /** Does what comes next on the way; whether this directory is a member. */
-    boolean step() throws IOException {
+    boolean advance() throws IOException {
         if (isMember()) {
-            data.member();
-            say.accept("member " + self.getId() + " of " + config.group());
+            dataDirectory.markMember();
+            logLine.accept("member " + self.getId() + " of " + config.group());
             return true;
         }
         RaftGroup group = null;
-        int empty = 0;
-        for (PeersConfig.Member m : config.members()) {
-            if (group == null && m.vote() && !m.name().equals(config.self().name())) {
+        int ungrouped = 0;
+        for (PeersConfig.Member member : config.members()) {
+            if (group == null
+                    && member.vote()
+                    && !member.name().equals(config.self().name())) {
                 try {
-                    group = Engine.ask(id, m);
-                    empty += group == null ? 1 : 0;
+                    group = RatisSetup.queryGroup(groupId, member);
+                    ungrouped += group == null ? 1 : 0;
                 } catch (IOException | RuntimeException e) {
-                    say.accept("waiting for members: " + m.name() + " is not reached");
+                    logLine.accept("waiting for members: " + member.name() + " is not reached");
                 }
             }
         }
         if (group != null && !group.getPeers().isEmpty()) {
             join(group);
         } else if (config.voters().get(0).name().equals(config.self().name())
-                && empty == config.voters().size() - 1) {
-            say.accept("founding " + config.group());
-            try (RaftClient c = Engine.client(RaftGroup.valueOf(id, self), 3)) {
-                c.getGroupManagementApi(self.getId()).add(RaftGroup.valueOf(id, self));
+                && ungrouped == config.voters().size() - 1) {
+            logLine.accept("founding " + config.group());
+            try (RaftClient client = RatisSetup.client(RaftGroup.valueOf(groupId, self), 3)) {
+                client.getGroupManagementApi(self.getId()).add(RaftGroup.valueOf(groupId, self));
             }
         }
         return false;
     }
 
     /** Whether this directory holds a log of the group. */
-    boolean has() {
-        for (RaftGroupId g : server.getGroupIds()) {
-            if (g.equals(id)) {
+    boolean hasGroup() {
+        for (RaftGroupId candidate : server.getGroupIds()) {
+            if (candidate.equals(groupId)) {
                 return true;
             }
         }
@@ -97,74 +99,76 @@
 
     /** Whether the log's configuration, as far as it is known here, names this very directory, and no change is under way. */
     private boolean isMember() throws IOException {
-        if (!has()) {
+        if (!hasGroup()) {
             return false;
         }
-        RaftConfiguration c = server.getDivision(id).getRaftConf();
-        return c.getPeer(self.getId(), RaftPeerRole.FOLLOWER, RaftPeerRole.LISTENER) != null
-                && c.getPreviousPeers().isEmpty();
+        RaftConfiguration configuration = server.getDivision(groupId).getRaftConf();
+        return configuration.getPeer(self.getId(), RaftPeerRole.FOLLOWER, RaftPeerRole.LISTENER) != null
+                && configuration.getPreviousPeers().isEmpty();
     }
 
     private void join(RaftGroup group) throws IOException {
         List<RaftPeer> others = new ArrayList<>();
-        boolean named = false;
-        for (RaftPeer p : group.getPeers()) {
-            named |= p.getId().equals(self.getId());
-            if (!PeerNames.name(p.getId()).equals(config.self().name())) {
-                others.add(p);
+        boolean selfListed = false;
+        for (RaftPeer peer : group.getPeers()) {
+            selfListed |= peer.getId().equals(self.getId());
+            if (!PeerNameResolver.memberName(peer.getId()).equals(config.self().name())) {
+                others.add(peer);
             }
         }
         if (others.isEmpty()) {
-            say.accept(
+            logLine.accept(
                     "joining: the fleet knows only this scheduler's lost directory; restore it, or found the fleet anew");
             return;
         }
-        if (others.size() + (named ? 1 : 0) < group.getPeers().size()) {
+        if (others.size() + (selfListed ? 1 : 0) < group.getPeers().size()) {
             // The leader still feeds the old directory of this name, at this very address: two streams into one log
             // spoil
             // it. So the old one leaves first, while this process is in no group and takes nothing in.
-            say.accept("taking the place of this name's former directory in " + config.group());
+            logLine.accept("taking the place of this name's former directory in " + config.group());
             List<RaftPeer> without = group.getPeers().stream()
-                    .filter(p -> p.getId().equals(self.getId())
-                            || !PeerNames.name(p.getId()).equals(config.self().name()))
+                    .filter(peer -> peer.getId().equals(self.getId())
+                            || !PeerNameResolver.memberName(peer.getId())
+                                    .equals(config.self().name()))
                     .toList();
-            configure(RaftGroup.valueOf(id, without), group.getPeers(), without);
+            changeConfiguration(RaftGroup.valueOf(groupId, without), group.getPeers(), without);
             return;
         }
-        if (!has()) {
-            try (RaftClient c = Engine.client(RaftGroup.valueOf(id, self), 3)) {
+        if (!hasGroup()) {
+            try (RaftClient client = RatisSetup.client(RaftGroup.valueOf(groupId, self), 3)) {
                 // Without itself in it: until the log names it, it neither votes nor stands for election.
-                c.getGroupManagementApi(self.getId()).add(RaftGroup.valueOf(id, others));
+                client.getGroupManagementApi(self.getId()).add(RaftGroup.valueOf(groupId, others));
             }
         }
-        if (!named) {
-            say.accept("joining " + config.group() + " through " + others);
+        if (!selfListed) {
+            logLine.accept("joining " + config.group() + " through " + others);
             List<RaftPeer> next = new ArrayList<>(others);
             next.add(self);
-            configure(RaftGroup.valueOf(id, others), group.getPeers(), next);
+            changeConfiguration(RaftGroup.valueOf(groupId, others), group.getPeers(), next);
         }
     }
 
     /** Those of a configuration that vote, or those that do not. */
-    static List<RaftPeer> role(Collection<RaftPeer> peers, boolean voters) {
+    static List<RaftPeer> filterByVote(Collection<RaftPeer> peers, boolean voters) {
         return peers.stream()
-                .filter(p -> (p.getStartupRole() != RaftPeerRole.LISTENER) == voters)
+                .filter(peer -> (peer.getStartupRole() != RaftPeerRole.LISTENER) == voters)
                 .toList();
     }
 
     /** Changes the group's configuration from one that is known to another; fails where it has changed meanwhile. */
-    static void configure(RaftGroup through, Collection<RaftPeer> now, Collection<RaftPeer> next) throws IOException {
-        try (RaftClient c = Engine.client(through, 5)) {
-            RaftClientReply r = c.admin()
+    static void changeConfiguration(RaftGroup contacts, Collection<RaftPeer> current, Collection<RaftPeer> next)
+            throws IOException {
+        try (RaftClient client = RatisSetup.client(contacts, 5)) {
+            RaftClientReply reply = client.admin()
                     .setConfiguration(SetConfigurationRequest.Arguments.newBuilder()
-                            .setServersInNewConf(role(next, true))
-                            .setListenersInNewConf(role(next, false))
-                            .setServersInCurrentConf(role(now, true))
-                            .setListenersInCurrentConf(role(now, false))
+                            .setServersInNewConf(filterByVote(next, true))
+                            .setListenersInNewConf(filterByVote(next, false))
+                            .setServersInCurrentConf(filterByVote(current, true))
+                            .setListenersInCurrentConf(filterByVote(current, false))
                             .setMode(SetConfigurationRequest.Mode.COMPARE_AND_SET)
                             .build());
-            if (!r.isSuccess()) {
-                throw new IOException(String.valueOf(r.getException()));
+            if (!reply.isSuccess()) {
+                throw new IOException(String.valueOf(reply.getException()));
             }
         }
     }
--- a/src/main/java/plumpost/fleet/engine/PeerNames.java
+++ b/src/main/java/plumpost/fleet/engine/PeerNameResolver.java
@@ -20,38 +20,38 @@
  * Resolves members by name: the log knows each as {@code peer:///NAME/ADDRESS}, and each scheduler's own file says where
  * it reaches that name; the address that the log carries serves only for members that the file does not name.
  */
-final class PeerNames extends NameResolverProvider {
-    private static final Map<String, InetSocketAddress> BY_NAME = new ConcurrentHashMap<>();
+final class PeerNameResolver extends NameResolverProvider {
+    private static final Map<String, InetSocketAddress> ADDRESSES = new ConcurrentHashMap<>();
     private static boolean registered;
 
     /** Takes the file's addresses over; they hold for this process. */
-    static synchronized void know(PeersConfig config) {
-        config.members().forEach(m -> BY_NAME.put(m.name(), m.address()));
+    static synchronized void registerAddresses(PeersConfig config) {
+        config.members().forEach(m -> ADDRESSES.put(m.name(), m.address()));
         if (!registered) {
-            NameResolverRegistry.getDefaultRegistry().register(new PeerNames());
+            NameResolverRegistry.getDefaultRegistry().register(new PeerNameResolver());
             registered = true;
         }
     }
 
     /** A member as the engine knows it; its id names its data directory too, so that a wiped one is another. */
-    static RaftPeer peer(PeersConfig.Member m, String disk) {
+    static RaftPeer toRaftPeer(PeersConfig.Member member, String diskId) {
         return RaftPeer.newBuilder()
-                .setId(RaftPeerId.valueOf(m.name() + "." + disk))
-                .setAddress("peer:///" + m.name() + "/" + m.address().getHostString() + ":"
-                        + m.address().getPort())
-                .setStartupRole(m.vote() ? RaftPeerRole.FOLLOWER : RaftPeerRole.LISTENER)
+                .setId(RaftPeerId.valueOf(member.name() + "." + diskId))
+                .setAddress("peer:///" + member.name() + "/" + member.address().getHostString() + ":"
+                        + member.address().getPort())
+                .setStartupRole(member.vote() ? RaftPeerRole.FOLLOWER : RaftPeerRole.LISTENER)
                 .build();
     }
 
     /** The scheduler's name in an engine's id. */
-    static String name(RaftPeerId id) {
-        String all = id.toString();
-        int dot = all.lastIndexOf('.');
-        return dot < 0 ? all : all.substring(0, dot);
+    static String memberName(RaftPeerId id) {
+        String text = id.toString();
+        int dot = text.lastIndexOf('.');
+        return dot < 0 ? text : text.substring(0, dot);
     }
 
     /** The data directory's identity in an engine's id. */
-    static String disk(RaftPeerId id) {
+    static String diskId(RaftPeerId id) {
         return id.toString().substring(id.toString().lastIndexOf('.') + 1);
     }
 
@@ -84,17 +84,17 @@
 
             @Override
             public void start(Listener2 listener) {
-                InetSocketAddress at = BY_NAME.get(parts[1]);
-                if (at == null && parts.length > 2) {
+                InetSocketAddress address = ADDRESSES.get(parts[1]);
+                if (address == null && parts.length > 2) {
                     int colon = parts[2].lastIndexOf(':');
-                    at = new InetSocketAddress(
+                    address = new InetSocketAddress(
                             parts[2].substring(0, colon), Integer.parseInt(parts[2].substring(colon + 1)));
                 }
-                if (at == null) {
+                if (address == null) {
                     listener.onError(Status.UNAVAILABLE.withDescription("no address of " + parts[1]));
                 } else {
                     listener.onResult(ResolutionResult.newBuilder()
-                            .setAddressesOrError(StatusOr.fromValue(List.of(new EquivalentAddressGroup(at))))
+                            .setAddressesOrError(StatusOr.fromValue(List.of(new EquivalentAddressGroup(address))))
                             .build());
                 }
             }
--- a/src/main/java/plumpost/fleet/engine/Calls.java
+++ b/src/main/java/plumpost/fleet/engine/RaftCalls.java
@@ -20,36 +20,41 @@
  * that was stopped holds up no other. (The engine's asynchronous calls stay with a member that has gone until their tries
  * are over.) A client that failed is made anew, with the members as they are known then.
  */
-final class Calls implements Closeable {
+final class RaftCalls implements Closeable {
     /** A client is made anew no more often than this. */
-    private static final double AGAIN_MS = 1_000;
+    private static final double MIN_RECREATE_INTERVAL_MS = 1_000;
 
     /** Makes a client of the members as they are known now; an exception where there are none yet. */
-    interface Maker {
-        RaftClient make() throws IOException;
+    interface ClientFactory {
+        RaftClient create() throws IOException;
     }
 
     /** What is asked. */
     interface Call {
-        RaftClientReply by(RaftClient c) throws IOException;
+        RaftClientReply execute(RaftClient client) throws IOException;
     }
 
-    private final Maker maker;
-    private final long longestMs;
-    private final ExecutorService threads;
+    private final ClientFactory clientFactory;
+    private final long timeoutMs;
+    private final ExecutorService callThreads;
     /** Owns the client. */
-    private final ScheduledExecutorService own;
+    private final ScheduledExecutorService clientThread;
 
     private final Executor loop;
     private RaftClient client;
-    private double madeAt;
+    private double clientCreatedAtMs;
 
     /** So many at once, none of which takes longer than {@code longestMs}; what they come to is told on the loop. */
-    Calls(Maker maker, int atOnce, long longestMs, ThreadFactory thread, Executor loop) {
-        this.maker = maker;
-        this.longestMs = longestMs;
-        this.threads = Executors.newFixedThreadPool(atOnce, thread);
-        this.own = Executors.newSingleThreadScheduledExecutor(thread);
+    RaftCalls(
+            ClientFactory clientFactory,
+            int maxConcurrent,
+            long timeoutMs,
+            ThreadFactory threadFactory,
+            Executor loop) {
+        this.clientFactory = clientFactory;
+        this.timeoutMs = timeoutMs;
+        this.callThreads = Executors.newFixedThreadPool(maxConcurrent, threadFactory);
+        this.clientThread = Executors.newSingleThreadScheduledExecutor(threadFactory);
         this.loop = loop;
     }
 
@@ -58,52 +63,54 @@
     }
 
     /** Asks; then tells the answer, or null where none came or it says that it failed. */
-    void call(Call what, Consumer<RaftClientReply> then) {
+    void call(Call call, Consumer<RaftClientReply> onReply) {
         try {
-            own.execute(() -> ask(what, then));
+            clientThread.execute(() -> run(call, onReply));
         } catch (RejectedExecutionException e) {
-            loop.execute(() -> then.accept(null)); // closed meanwhile
+            loop.execute(() -> onReply.accept(null)); // closed meanwhile
         }
     }
 
-    private void ask(Call what, Consumer<RaftClientReply> then) {
+    private void run(Call call, Consumer<RaftClientReply> onReply) {
         RaftClient c = client;
         try {
             if (c == null) {
-                c = maker.make();
+                c = clientFactory.create();
                 client = c;
-                madeAt = nowMs();
+                clientCreatedAtMs = nowMs();
             }
-            RaftClient used = c;
+            RaftClient usedClient = c;
             CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return what.by(used);
+                                    return call.execute(usedClient);
                                 } catch (IOException x) {
                                     throw new CompletionException(x);
                                 }
                             },
-                            threads)
-                    .orTimeout(longestMs, TimeUnit.MILLISECONDS)
-                    .whenComplete((reply, fault) -> {
-                        if (fault != null) {
-                            failed(used);
+                            callThreads)
+                    .orTimeout(timeoutMs, TimeUnit.MILLISECONDS)
+                    .whenComplete((reply, failure) -> {
+                        if (failure != null) {
+                            discardClient(usedClient);
                         }
-                        loop.execute(() -> then.accept(fault != null || !reply.isSuccess() ? null : reply));
+                        loop.execute(() -> onReply.accept(failure != null || !reply.isSuccess() ? null : reply));
                     });
         } catch (IOException | RuntimeException e) {
-            failed(c);
-            loop.execute(() -> then.accept(null));
+            discardClient(c);
+            loop.execute(() -> onReply.accept(null));
         }
     }
 
     /** It is closed only once what others have asked by it is over, since a closed one leaves that unanswered for good. */
-    private void failed(RaftClient c) {
+    private void discardClient(RaftClient failedClient) {
         try {
-            own.execute(() -> {
-                if (client == c && c != null && nowMs() - madeAt > AGAIN_MS) {
+            clientThread.execute(() -> {
+                if (client == failedClient
+                        && failedClient != null
+                        && nowMs() - clientCreatedAtMs > MIN_RECREATE_INTERVAL_MS) {
                     client = null;
-                    own.schedule(() -> shut(c), longestMs, TimeUnit.MILLISECONDS);
+                    clientThread.schedule(() -> closeQuietly(failedClient), timeoutMs, TimeUnit.MILLISECONDS);
                 }
             });
         } catch (RejectedExecutionException e) {
@@ -111,9 +118,9 @@
         }
     }
 
-    private static void shut(RaftClient c) {
+    private static void closeQuietly(RaftClient raftClient) {
         try {
-            c.close();
+            raftClient.close();
         } catch (IOException | RuntimeException e) {
             // it is given up either way
         }
@@ -122,12 +129,12 @@
     /** Ends; what is under way is not waited for. */
     @Override
     public void close() {
-        own.execute(() -> {
+        clientThread.execute(() -> {
             if (client != null) {
-                shut(client);
+                closeQuietly(client);
             }
         });
-        own.shutdown();
-        threads.shutdown();
+        clientThread.shutdown();
+        callThreads.shutdown();
     }
 }
--- a/src/main/java/plumpost/fleet/engine/RatisLog.java
+++ b/src/main/java/plumpost/fleet/engine/RatisLog.java
@@ -32,129 +32,136 @@
 import plumpost.fleet.Sessions;
 
 /** The replicated log on Apache Ratis: proposals, beats, and the leader's part; it becomes a member by {@link Membership}. */
-final class RatisLog implements FleetLog, BookMachine.Listener {
-    private static final long LOOK_MS = 100;
-    private static final long TRY_MS = 300;
-    private static final int MOST_BEATS = 2;
-    private static final int WRITERS = 16;
-    private static final long HAND_OVER_MS = 500;
+final class RatisLog implements FleetLog, FleetStateMachine.Listener {
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long JOIN_RETRY_MS = 300;
+    private static final int MAX_CONCURRENT_HEARTBEATS = 2;
+    private static final int MAX_CONCURRENT_PROPOSALS = 16;
+    private static final long LEADERSHIP_TRANSFER_TIMEOUT_MS = 500;
     /** What is not answered for so long is taken for not known. */
-    private static final long LONGEST_MS = 8_000;
+    private static final long PROPOSAL_TIMEOUT_MS = 8_000;
 
     private final PeersConfig config;
-    private final DataDirectory data;
-    private final Ear ear;
+    private final DataDirectory dataDirectory;
+    private final Ear listener;
     private final Executor loop;
     private final Consumer<String> log;
-    private final RaftGroupId id;
+    private final RaftGroupId groupId;
     private final RaftPeer self;
     /** Becoming and staying a member may wait for others; what is proposed must not wait for that. */
-    private final ScheduledExecutorService own = thread("fleet");
+    private final ScheduledExecutorService background = singleThread("fleet");
 
-    private final Calls proposals;
-    private final Calls beating;
-    private final BookMachine machine;
-    private final Beats ears;
+    private final RaftCalls proposalCalls;
+    private final RaftCalls heartbeatCalls;
+    private final FleetStateMachine stateMachine;
+    private final Beats heartbeats;
     private RaftServer server;
     private Membership membership;
     private volatile boolean closed;
     private volatile boolean halted;
-    private int beats;
+    private int openHeartbeats;
     /** The oldest word of the leader on how far the log is applied that has not come true here, and since when. */
-    private long behind;
-
-    private double behindSince;
-    private boolean settled;
-    private String said = "";
-
-    RatisLog(PeersConfig config, DataDirectory data, Ear ear, Executor loop, Consumer<String> log, Trials trials) {
+    private long leaderAppliedIndex;
+
+    private double behindSinceMs;
+    private boolean joined;
+    private String lastLogged = "";
+
+    RatisLog(
+            PeersConfig config,
+            DataDirectory dataDirectory,
+            Ear listener,
+            Executor loop,
+            Consumer<String> log,
+            Failpoints failpoints) {
         this.config = config;
-        this.data = data;
-        this.ear = ear;
+        this.dataDirectory = dataDirectory;
+        this.listener = listener;
         this.loop = loop;
         this.log = log;
-        this.id = Engine.group(config.group());
-        this.self = PeerNames.peer(config.self(), data.disk());
-        this.ears = new Beats(config.lostMs() * 2 / 3, config.lostMs(), 5 * LOOK_MS);
-        this.machine = new BookMachine(this, this::answer, trials);
-        this.proposals = new Calls(
-                () -> Engine.own(members(), config, LONGEST_MS),
-                WRITERS,
-                LONGEST_MS,
-                r -> named(r, "fleet-proposal"),
+        this.groupId = RatisSetup.groupId(config.group());
+        this.self = PeerNameResolver.toRaftPeer(config.self(), dataDirectory.diskId());
+        this.heartbeats = new Beats(config.lostMs() * 2 / 3, config.lostMs(), 5 * POLL_INTERVAL_MS);
+        this.stateMachine = new FleetStateMachine(this, this::answerQuery, failpoints);
+        this.proposalCalls = new RaftCalls(
+                () -> RatisSetup.memberClient(currentGroup(), config, PROPOSAL_TIMEOUT_MS),
+                MAX_CONCURRENT_PROPOSALS,
+                PROPOSAL_TIMEOUT_MS,
+                r -> daemonThread(r, "fleet-proposal"),
                 loop);
-        this.beating = new Calls(
-                () -> Engine.own(members(), config, 0),
-                MOST_BEATS,
+        this.heartbeatCalls = new RaftCalls(
+                () -> RatisSetup.memberClient(currentGroup(), config, 0),
+                MAX_CONCURRENT_HEARTBEATS,
                 Math.round(2 * config.lostMs()),
-                r -> named(r, "fleet-beat"),
+                r -> daemonThread(r, "fleet-beat"),
                 loop);
-        PeerNames.know(config);
+        PeerNameResolver.registerAddresses(config);
     }
 
-    private static ScheduledExecutorService thread(String name) {
-        return Executors.newSingleThreadScheduledExecutor(r -> named(r, name));
+    private static ScheduledExecutorService singleThread(String name) {
+        return Executors.newSingleThreadScheduledExecutor(r -> daemonThread(r, name));
     }
 
-    private static Thread named(Runnable r, String name) {
-        Thread t = new Thread(r, name);
-        t.setDaemon(true);
-        t.setContextClassLoader(RatisLog.class.getClassLoader()); // the engine looks its own classes up by it
-        return t;
+    private static Thread daemonThread(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        thread.setContextClassLoader(RatisLog.class.getClassLoader()); // the engine looks its own classes up by it
+        return thread;
     }
 
     /** Starts the engine in the background; what is wrong with the directory's content is told to the ear. */
     void start() {
-        own.execute(() -> {
+        background.execute(() -> {
             try {
                 server = RaftServer.newBuilder()
                         .setServerId(self.getId())
-                        .setProperties(Engine.server(config, data))
-                        .setStateMachineRegistry(g -> machine)
+                        .setProperties(RatisSetup.serverProperties(config, dataDirectory))
+                        .setStateMachineRegistry(g -> stateMachine)
                         .setOption(RaftStorage.StartupOption.RECOVER)
                         .build();
                 server.start();
-                membership = new Membership(config, data, id, self, server, this::say);
-                loop.execute(ear::started);
-                own.schedule(this::settle, 0, TimeUnit.MILLISECONDS);
-                own.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                membership = new Membership(config, dataDirectory, groupId, self, server, this::logLine);
+                loop.execute(listener::started);
+                background.schedule(this::join, 0, TimeUnit.MILLISECONDS);
+                background.scheduleWithFixedDelay(
+                        this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } catch (IOException | RuntimeException | LinkageError e) {
-                halted("the engine does not start on " + data.log() + ": " + cause(e));
+                halted("the engine does not start on " + dataDirectory.logPath() + ": " + rootCause(e));
             }
         });
     }
 
-    private static String cause(Throwable e) {
-        Throwable t = e;
-        while (t.getCause() != null && t.getCause() != t) {
-            t = t.getCause();
+    private static String rootCause(Throwable failure) {
+        Throwable cause = failure;
+        while (cause.getCause() != null && cause.getCause() != cause) {
+            cause = cause.getCause();
         }
-        return t.toString();
+        return cause.toString();
     }
 
-    private void say(String words) {
-        if (!words.equals(said)) {
-            said = words;
-            log.accept("fleet: " + words);
+    private void logLine(String line) {
+        if (!line.equals(lastLogged)) {
+            lastLogged = line;
+            log.accept("fleet: " + line);
         }
     }
 
-    private void settle() {
+    private void join() {
         if (closed) {
             return;
         }
         try {
-            String lost = membership.lost();
-            if (lost != null) {
-                halted(lost);
+            String lostReason = membership.lostReason();
+            if (lostReason != null) {
+                halted(lostReason);
                 return;
             }
-            settled = membership.step();
+            joined = membership.advance();
         } catch (IOException | RuntimeException e) {
-            say("joining: " + cause(e));
+            logLine("joining: " + rootCause(e));
         }
-        if (!settled) {
-            own.schedule(this::settle, TRY_MS, TimeUnit.MILLISECONDS);
+        if (!joined) {
+            background.schedule(this::join, JOIN_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -164,244 +171,255 @@
         return System.nanoTime() / 1e6;
     }
 
-    private boolean leads() {
+    private boolean isLeader() {
         try {
-            return settled && server.getDivision(id).getInfo().isLeaderReady();
+            return joined && server.getDivision(groupId).getInfo().isLeaderReady();
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Called at intervals: the leader tells who is not heard, and takes removed members out of the engine's group. */
-    private void look() {
+    private void poll() {
         try {
-            if (closed || !settled) {
+            if (closed || !joined) {
                 return;
             }
             if (server.getLifeCycleState() != LifeCycle.State.RUNNING
-                    || server.getDivision(id).getInfo().getLifeCycleState().isClosingOrClosed()) {
+                    || server.getDivision(groupId).getInfo().getLifeCycleState().isClosingOrClosed()) {
                 halted("the engine has stopped");
                 return;
             }
-            if (!leads()) {
-                synchronized (machine) {
-                    ears.lead(nowMs());
+            if (!isLeader()) {
+                synchronized (stateMachine) {
+                    heartbeats.lead(nowMs());
                 }
                 return;
             }
-            List<Entry> due;
-            List<String> gone = new ArrayList<>();
-            synchronized (machine) {
-                due = ears.look(
-                        machine.book().sessions().all(),
-                        server.getDivision(id).getInfo().getCurrentTerm(),
+            List<Entry> entries;
+            List<String> removed = new ArrayList<>();
+            synchronized (stateMachine) {
+                entries = heartbeats.look(
+                        stateMachine.state().sessions().all(),
+                        server.getDivision(groupId).getInfo().getCurrentTerm(),
                         nowMs());
-                for (Sessions.Session s : machine.book().sessions().all()) {
+                for (Sessions.Session s : stateMachine.state().sessions().all()) {
                     if (s.state() == Sessions.State.REMOVED) {
-                        gone.add(s.name() + "." + s.disk());
+                        removed.add(s.name() + "." + s.disk());
                     }
                 }
             }
-            due.forEach(e -> propose(e, o -> {}));
-            Collection<RaftPeer> now = server.getDivision(id).getGroup().getPeers();
-            raise(now);
-            List<RaftPeer> next = now.stream()
-                    .filter(p -> !gone.contains(p.getId().toString()))
+            entries.forEach(e -> propose(e, o -> {}));
+            Collection<RaftPeer> current =
+                    server.getDivision(groupId).getGroup().getPeers();
+            raiseFormat(current);
+            List<RaftPeer> next = current.stream()
+                    .filter(p -> !removed.contains(p.getId().toString()))
                     .toList();
-            if (next.size() < now.size() && !Membership.role(next, true).isEmpty()) {
-                Membership.configure(RaftGroup.valueOf(id, now), now, next);
+            if (next.size() < current.size()
+                    && !Membership.filterByVote(next, true).isEmpty()) {
+                Membership.changeConfiguration(RaftGroup.valueOf(groupId, current), current, next);
             }
         } catch (IOException | RuntimeException e) {
-            say("as leader: " + cause(e));
+            logLine("as leader: " + rootCause(e));
         }
     }
 
     /** Has the fleet write a newer record format once each member of the log lives and reads it. */
-    private void raise(Collection<RaftPeer> members) {
-        int newest;
-        synchronized (machine) {
-            Sessions all = machine.book().sessions();
-            newest = Math.min(FleetCodec.FORMAT, all.reads());
-            if (newest <= all.format()
+    private void raiseFormat(Collection<RaftPeer> members) {
+        int newestFormat;
+        synchronized (stateMachine) {
+            Sessions sessions = stateMachine.state().sessions();
+            newestFormat = Math.min(FleetCodec.FORMAT, sessions.reads());
+            if (newestFormat <= sessions.format()
                     || !members.stream()
-                            .map(p -> all.of(PeerNames.name(p.getId())))
+                            .map(p -> sessions.of(PeerNameResolver.memberName(p.getId())))
                             .allMatch(s -> s != null && s.live())) {
                 return;
             }
         }
-        propose(new Entry.Raise(newest), o -> say("the fleet writes record format " + newest + " from now on"));
+        propose(
+                new Entry.Raise(newestFormat),
+                o -> logLine("the fleet writes record format " + newestFormat + " from now on"));
     }
 
     /** Answers a question to the leader: called under the machine's lock. */
-    private String answer(String question) {
-        String[] words = question.split(" ");
-        if (words[0].equals("beat") && !leads()) {
+    private String answerQuery(String query) {
+        String[] words = query.split(" ");
+        if (words[0].equals("beat") && !isLeader()) {
             // A follower answers reads as surely as the leader, but it is the leader that has to hear a life.
-            RaftPeerId leader = leader();
+            RaftPeerId leader = leaderId();
             return leader == null || leader.equals(self.getId()) ? "elsewhere" : "elsewhere " + leader;
         } else if (words[0].equals("beat")) {
             long incarnation = Long.parseLong(words[2]);
             if (Long.parseLong(words[3]) < config.lostMs() * 2 / 3) {
-                ears.beat(words[1], incarnation, nowMs(), Double.parseDouble(words[4]));
+                heartbeats.beat(words[1], incarnation, nowMs(), Double.parseDouble(words[4]));
             }
-            return (machine.book().sessions().live(words[1], incarnation) ? "live " : "over ") + machine.at();
+            return (stateMachine.state().sessions().live(words[1], incarnation) ? "live " : "over ")
+                    + stateMachine.lastAppliedIndex();
         }
-        return FleetPage.json(machine.book(), leaderName());
+        return FleetJson.format(stateMachine.state(), leaderName());
     }
 
     private String leaderName() {
-        RaftPeerId leader = leader();
-        return leader == null ? "" : PeerNames.name(leader);
+        RaftPeerId leaderId = leaderId();
+        return leaderId == null ? "" : PeerNameResolver.memberName(leaderId);
     }
 
     // ---- FleetLog ----
 
-    private RaftGroup members() throws IOException {
-        if (!membership.has() || server.getDivision(id).getGroup().getPeers().isEmpty()) {
+    private RaftGroup currentGroup() throws IOException {
+        if (!membership.hasGroup()
+                || server.getDivision(groupId).getGroup().getPeers().isEmpty()) {
             throw new IOException("not a member yet");
         }
-        return server.getDivision(id).getGroup();
+        return server.getDivision(groupId).getGroup();
     }
 
     /** The leader as this member knows it, or null. */
-    private RaftPeerId leader() {
+    private RaftPeerId leaderId() {
         try {
-            return server.getDivision(id).getInfo().getLeaderId();
+            return server.getDivision(groupId).getInfo().getLeaderId();
         } catch (IOException | RuntimeException e) {
             return null;
         }
     }
 
     @Override
-    public void propose(Entry e, Consumer<Outcome> then) {
+    public void propose(Entry e, Consumer<Outcome> onOutcome) {
         int format;
-        synchronized (machine) {
-            format = machine.book().sessions().format();
+        synchronized (stateMachine) {
+            format = stateMachine.state().sessions().format();
         }
-        Message m = Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)));
-        proposals.call(c -> c.io().send(m), reply -> {
+        Message message = Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)));
+        proposalCalls.call(c -> c.io().send(message), reply -> {
             try {
-                then.accept(
+                onOutcome.accept(
                         reply == null
                                 ? null
                                 : FleetCodec.outcome(
                                         reply.getMessage().getContent().toByteArray()));
             } catch (FleetCodec.Unreadable x) {
                 log.accept("fleet: " + x.getMessage());
-                then.accept(null);
+                onOutcome.accept(null);
             }
         });
     }
 
     @Override
-    public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> then) {
-        if (beats >= MOST_BEATS) {
-            loop.execute(() -> then.accept(null));
+    public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> onResult) {
+        if (openHeartbeats >= MAX_CONCURRENT_HEARTBEATS) {
+            loop.execute(() -> onResult.accept(null));
             return;
         }
-        beats++; // on the loop only
-        Message m = Message.valueOf(
+        openHeartbeats++; // on the loop only
+        Message message = Message.valueOf(
                 "beat " + name + " " + incarnation + " " + Math.round(deafMs) + " " + Math.round(behindMs()));
-        beating.call(
+        heartbeatCalls.call(
                 c -> {
-                    RaftPeerId leader = leader();
-                    RaftClientReply r = leader == null ? c.io().sendReadOnly(m) : c.io().sendReadOnly(m, leader);
-                    String[] words = words(r);
+                    RaftPeerId leader = leaderId();
+                    RaftClientReply reply =
+                            leader == null ? c.io().sendReadOnly(message) : c.io().sendReadOnly(message, leader);
+                    String[] words = replyWords(reply);
                     return words[0].equals("elsewhere") && words.length > 1
-                            ? c.io().sendReadOnly(m, RaftPeerId.valueOf(words[1]))
-                            : r;
+                            ? c.io().sendReadOnly(message, RaftPeerId.valueOf(words[1]))
+                            : reply;
                 },
                 reply -> {
-                    beats--;
-                    String[] words = reply == null || words(reply)[0].equals("elsewhere") ? null : words(reply);
+                    openHeartbeats--;
+                    String[] words =
+                            reply == null || replyWords(reply)[0].equals("elsewhere") ? null : replyWords(reply);
                     if (words != null && behindMs() == 0) {
-                        behind = Long.parseLong(words[1]);
-                        behindSince = nowMs();
+                        leaderAppliedIndex = Long.parseLong(words[1]);
+                        behindSinceMs = nowMs();
                     }
-                    then.accept(words == null ? null : words[0].equals("live"));
+                    onResult.accept(words == null ? null : words[0].equals("live"));
                 });
     }
 
-    private static String[] words(RaftClientReply r) {
-        return r.getMessage().getContent().toStringUtf8().split(" ");
+    private static String[] replyWords(RaftClientReply reply) {
+        return reply.getMessage().getContent().toStringUtf8().split(" ");
     }
 
     @Override
     public double behindMs() {
-        return behind <= machine.at() ? 0 : nowMs() - behindSince;
+        return leaderAppliedIndex <= stateMachine.lastAppliedIndex() ? 0 : nowMs() - behindSinceMs;
     }
 
     @Override
     public long syncs() {
-        return machine.syncs();
+        return stateMachine.syncCount();
     }
 
     @Override
     public void close() {
-        synchronized (own) {
+        synchronized (background) {
             if (closed) {
                 return;
             }
             closed = true;
         }
-        proposals.close();
-        beating.close();
-        own.execute(() -> {
+        proposalCalls.close();
+        heartbeatCalls.close();
+        background.execute(() -> {
             if (server != null) {
                 if (!halted) {
-                    handOver();
+                    transferLeadership();
                 }
-                shut(server);
+                closeQuietly(server);
             }
-            shut(data);
+            closeQuietly(dataDirectory);
         });
-        own.shutdown();
+        background.shutdown();
     }
 
     /** A leader that ends in order lets another one lead first: nobody then waits for an election. */
-    private void handOver() {
-        if (!leads()) {
+    private void transferLeadership() {
+        if (!isLeader()) {
             return;
         }
-        try (RaftClient c = Engine.client(server.getDivision(id).getGroup(), 1)) {
-            for (RaftPeer p : Membership.role(server.getDivision(id).getGroup().getPeers(), true)) {
+        try (RaftClient client = RatisSetup.client(server.getDivision(groupId).getGroup(), 1)) {
+            for (RaftPeer peer : Membership.filterByVote(
+                    server.getDivision(groupId).getGroup().getPeers(), true)) {
                 boolean alive;
-                synchronized (machine) {
-                    Sessions.Session s = machine.book().sessions().of(PeerNames.name(p.getId()));
-                    alive = s != null && s.state() == Sessions.State.ALIVE;
+                synchronized (stateMachine) {
+                    Sessions.Session session =
+                            stateMachine.state().sessions().of(PeerNameResolver.memberName(peer.getId()));
+                    alive = session != null && session.state() == Sessions.State.ALIVE;
                 }
-                if (alive && !p.getId().equals(self.getId())) {
-                    RaftClientReply r = c.admin().transferLeadership(p.getId(), HAND_OVER_MS);
-                    say("leadership is passed on to " + PeerNames.name(p.getId())
-                            + (r.isSuccess() ? "" : ", but " + r.getException()));
-                    if (r.isSuccess()) {
+                if (alive && !peer.getId().equals(self.getId())) {
+                    RaftClientReply reply =
+                            client.admin().transferLeadership(peer.getId(), LEADERSHIP_TRANSFER_TIMEOUT_MS);
+                    logLine("leadership is passed on to " + PeerNameResolver.memberName(peer.getId())
+                            + (reply.isSuccess() ? "" : ", but " + reply.getException()));
+                    if (reply.isSuccess()) {
                         return;
                     }
                 }
             }
         } catch (IOException | RuntimeException e) {
-            say("leadership is not passed on: " + cause(e));
+            logLine("leadership is not passed on: " + rootCause(e));
         }
     }
 
-    private void shut(Closeable what) {
+    private void closeQuietly(Closeable resource) {
         try {
-            what.close();
+            resource.close();
         } catch (IOException | RuntimeException e) {
-            log.accept("fleet: closing: " + cause(e));
+            log.accept("fleet: closing: " + rootCause(e));
         }
     }
 
     // ---- BookMachine.Listener, on the engine's threads ----
 
     @Override
-    public void applied(Entry e, long term) {
-        loop.execute(() -> ear.applied(e, term));
+    public void applied(Entry entry, long term) {
+        loop.execute(() -> listener.applied(entry, term));
     }
 
     @Override
     public void restored(FleetBook.Image image) {
-        loop.execute(() -> ear.restored(image));
+        loop.execute(() -> listener.restored(image));
     }
 
     /**
@@ -409,28 +427,29 @@
      * one of two voters would stand it still, with duties owned and jobs taken.
      */
     @Override
-    public String refuses(Entry e) {
-        synchronized (machine) {
-            if (!machine.book().sessions().all().isEmpty()) {
+    public String refusalReason(Entry entry) {
+        synchronized (stateMachine) {
+            if (!stateMachine.state().sessions().all().isEmpty()) {
                 return null;
             }
         }
         try {
-            RaftConfiguration c = server.getDivision(id).getRaftConf();
-            int in = c.getCurrentPeers().size();
-            return c.getPreviousPeers().isEmpty() && in >= config.voters().size()
+            RaftConfiguration configuration = server.getDivision(groupId).getRaftConf();
+            int present = configuration.getCurrentPeers().size();
+            return configuration.getPreviousPeers().isEmpty()
+                            && present >= config.voters().size()
                     ? null
-                    : "the fleet is being founded: " + in + " of "
+                    : "the fleet is being founded: " + present + " of "
                             + config.voters().size() + " voters are in";
-        } catch (IOException x) {
-            return cause(x);
+        } catch (IOException failure) {
+            return rootCause(failure);
         }
     }
 
     @Override
-    public void halted(String why) {
+    public void halted(String reason) {
         halted = true;
-        loop.execute(() -> ear.halted(why));
+        loop.execute(() -> listener.halted(reason));
         close(); // on threads of its own: who leads lets others lead
     }
 }
--- /dev/null
+++ b/src/main/java/plumpost/fleet/engine/RatisSetup.java
@@ -0,0 +1,114 @@
+package plumpost.fleet.engine;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.UUID;
+import java.util.concurrent.TimeUnit;
+import org.apache.ratis.client.RaftClient;
+import org.apache.ratis.client.RaftClientConfigKeys;
+import org.apache.ratis.conf.RaftProperties;
+import org.apache.ratis.grpc.GrpcConfigKeys;
+import org.apache.ratis.protocol.GroupInfoReply;
+import org.apache.ratis.protocol.RaftGroup;
+import org.apache.ratis.protocol.RaftGroupId;
+import org.apache.ratis.protocol.RaftPeer;
+import org.apache.ratis.retry.RetryPolicies;
+import org.apache.ratis.server.RaftServerConfigKeys;
+import org.apache.ratis.util.SizeInBytes;
+import org.apache.ratis.util.TimeDuration;
+import plumpost.config.PeersConfig;
+import plumpost.fleet.FleetCodec;
+
+/** The engine's settings, derived from the file's, and calls to members that are not in a group yet. */
+final class RatisSetup {
+    /** Between two tries of a client. */
+    private static final double RETRY_PAUSE_MS = 100;
+
+    private RatisSetup() {}
+
+    /** The engine's id of a fleet's group: drawn from its name, so that two fleets never mix. */
+    static RaftGroupId groupId(String name) {
+        return RaftGroupId.valueOf(
+                UUID.nameUUIDFromBytes(("plumpost fleet " + name).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    }
+
+    private static TimeDuration millis(double value) {
+        return TimeDuration.valueOf(Math.round(value), TimeUnit.MILLISECONDS);
+    }
+
+    /** What a member's server runs with: a new leader within about half of {@code lostMs}, small buffers, a bounded log. */
+    static RaftProperties serverProperties(PeersConfig config, DataDirectory dataDirectory) {
+        RaftProperties properties = new RaftProperties();
+        RaftServerConfigKeys.setStorageDir(
+                properties, List.of(dataDirectory.logPath().toFile()));
+        GrpcConfigKeys.Server.setHost(properties, config.self().address().getHostString());
+        GrpcConfigKeys.Server.setPort(properties, config.self().address().getPort());
+        GrpcConfigKeys.Server.setAsyncRequestThreadPoolSize(properties, 4);
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
+        double electionTimeoutMs = Math.max(100, config.lostMs() / 3);
+        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionTimeoutMs));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(electionTimeoutMs * 2));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(properties, millis(electionTimeoutMs));
+        RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionTimeoutMs * 2));
+        // A follower answers an entry when its disk has it: sent again before that, each entry queues twice on a slow
+        // disk.
+        RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(Math.max(1000, 2 * config.lostMs())));
+        RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(electionTimeoutMs * 2));
+        RaftServerConfigKeys.LeaderElection.setPreVote(properties, true);
+        RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
+        RaftServerConfigKeys.Read.setTimeout(properties, millis(config.lostMs() / 2));
+        RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("64KB"));
+        RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(3L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Log.setSegmentCacheNumMax(properties, 2);
+        RaftServerConfigKeys.Log.setSegmentCacheSizeMax(properties, SizeInBytes.valueOf(8L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
+        RaftServerConfigKeys.Log.setPurgeGap(properties, 1);
+        RaftServerConfigKeys.Log.Appender.setBufferByteLimit(
+                properties, SizeInBytes.valueOf(2L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, config.snapshotEvery());
+        RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
+        return properties;
+    }
+
+    /** A client of a group, or of members that are not in it yet; each try has a second, and there are so many. */
+    static RaftClient client(RaftGroup group, int maxAttempts) {
+        return client(group, maxAttempts, 1000);
+    }
+
+    /**
+     * A member's own client: a try has a quarter of {@code lostMs}, so that a leader that hangs or ends costs no lease,
+     * and there are as many as the longest call may take.
+     */
+    static RaftClient memberClient(RaftGroup group, PeersConfig config, double callTimeoutMs) {
+        double attemptTimeoutMs = Math.max(100, config.lostMs() / 4);
+        return client(group, (int) Math.ceil(callTimeoutMs / (attemptTimeoutMs + RETRY_PAUSE_MS)), attemptTimeoutMs);
+    }
+
+    private static RaftClient client(RaftGroup group, int maxAttempts, double attemptTimeoutMs) {
+        RaftProperties properties = new RaftProperties();
+        RaftClientConfigKeys.Rpc.setRequestTimeout(properties, millis(attemptTimeoutMs));
+        RaftClientConfigKeys.Async.Experimental.setSendDummyRequest(
+                properties, false); // fails at a leader that is not ready
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
+        return RaftClient.newBuilder()
+                .setProperties(properties)
+                .setRaftGroup(group)
+                .setRetryPolicy(RetryPolicies.retryUpToMaximumCountWithFixedSleep(maxAttempts, millis(RETRY_PAUSE_MS)))
+                .build();
+    }
+
+    /** What a member says of the group: the group with its members as that one knows them, or null: it is in none. */
+    static RaftGroup queryGroup(RaftGroupId groupId, PeersConfig.Member member) throws IOException {
+        RaftPeer peer =
+                PeerNameResolver.toRaftPeer(member, "asked"); // its directory's identity is what is to be learned
+        try (RaftClient client = client(RaftGroup.valueOf(groupId, peer), 1)) {
+            if (!client.getGroupManagementApi(peer.getId()).list().getGroupIds().contains(groupId)) {
+                return null;
+            }
+            GroupInfoReply info = client.getGroupManagementApi(peer.getId()).info(groupId);
+            return info.getGroup();
+        }
+    }
+}
--- a/src/main/java/plumpost/front/Front.java
+++ b/src/main/java/plumpost/front/Front.java
@@ -12,15 +12,15 @@
     default void ready() {}
 
     /** Takes over what may change while jobs are open. */
-    default void reload(NodeConfig now) {}
+    default void reload(NodeConfig config) {}
 
     /**
      * The scheduler stops: at once what is announced, and nothing new once newcomers may be turned away.
      *
-     * @param heardAtMs when the process heard of SIGTERM, by the loop's clock; that may be some time ago
-     * @param newcomersMs so long after that clients may still come that do not know of the end
+     * @param signalledAtMs when the process heard of SIGTERM, by the loop's clock; that may be some time ago
+     * @param newConnectionGraceMs so long after that clients may still come that do not know of the end
      */
-    void stop(double heardAtMs, double newcomersMs);
+    void stop(double signalledAtMs, double newConnectionGraceMs);
 
     /** True when nobody waits for anything on it. */
     boolean quiet();
--- a/src/main/java/plumpost/front/Listeners.java
+++ b/src/main/java/plumpost/front/Listeners.java
@@ -14,14 +14,14 @@
      *
      * @param batched what is written goes out once a turn: fewer calls, a little later
      * @param unreadBytes what a peer may leave unread before its connection is cut
-     * @param shed ends the connection that matters least, and says whether there was one
+     * @param shedConnection ends the connection that matters least, and says whether there was one
      */
     InetSocketAddress listen(
-            InetSocketAddress at,
-            Function<Connection, ConnectionHandler> users,
-            int most,
+            InetSocketAddress address,
+            Function<Connection, ConnectionHandler> handlerFactory,
+            int maxConnections,
             boolean batched,
             long unreadBytes,
-            BooleanSupplier shed)
+            BooleanSupplier shedConnection)
             throws IOException;
 }
--- a/src/test/java/plumpost/cli/FullDescriptorsIT.java
+++ b/src/test/java/plumpost/cli/FullDescriptorsIT.java
@@ -29,33 +29,33 @@
     private Path folder;
 
     /** A listener of the test's own; each connection gets a thread. */
-    private static final class Stand implements Closeable {
+    private static final class StubServer implements Closeable {
         private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
-        interface Answer {
-            void to(Socket caller) throws IOException;
+        interface Responder {
+            void respond(Socket client) throws IOException;
         }
 
-        Stand(Answer answer) throws IOException {
-            Thread accepts = new Thread(() -> {
+        StubServer(Responder answer) throws IOException {
+            Thread acceptor = new Thread(() -> {
                 while (!socket.isClosed()) {
                     try {
-                        Socket caller = socket.accept();
-                        Thread serves = new Thread(() -> serve(answer, caller));
-                        serves.setDaemon(true);
-                        serves.start();
+                        Socket client = socket.accept();
+                        Thread handler = new Thread(() -> serve(answer, client));
+                        handler.setDaemon(true);
+                        handler.start();
                     } catch (IOException e) {
                         return;
                     }
                 }
             });
-            accepts.setDaemon(true);
-            accepts.start();
+            acceptor.setDaemon(true);
+            acceptor.start();
         }
 
-        private static void serve(Answer answer, Socket caller) {
+        private static void serve(Responder answer, Socket client) {
             try {
-                answer.to(caller);
+                answer.respond(client);
             } catch (IOException e) {
                 // The scheduler has closed its end, which it may at any time.
                 return;
@@ -68,7 +68,7 @@
         }
     }
 
-    private static String read(Socket from) throws IOException {
+    private static String readOnce(Socket from) throws IOException {
         byte[] bytes = new byte[4096];
         int n = from.getInputStream().read(bytes);
         return n < 0 ? "" : new String(bytes, 0, n, StandardCharsets.US_ASCII);
@@ -79,10 +79,10 @@
     }
 
     private static String ask(int port, String request) throws IOException {
-        try (Socket caller = new Socket("127.0.0.1", port)) {
-            caller.setSoTimeout(10_000);
-            write(caller, request);
-            return read(caller);
+        try (Socket client = new Socket("127.0.0.1", port)) {
+            client.setSoTimeout(10_000);
+            write(client, request);
+            return readOnce(client);
         }
     }
 
@@ -96,23 +96,23 @@
     void idleClientsLeaveDescriptorsForEverythingElse() throws Exception {
         CountDownLatch calledWhileFull = new CountDownLatch(3);
         CountDownLatch full = new CountDownLatch(1);
-        CountDownLatch up = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
-        Stand node = new Stand(caller -> {
-            read(caller);
+        CountDownLatch discoveryUp = new CountDownLatch(1);
+        CountDownLatch listSent = new CountDownLatch(1);
+        StubServer node = new StubServer(caller -> {
+            readOnce(caller);
             write(
                     caller,
                     "HTTP/1.1 200 OK\r\nContent-Length: 46\r\n\r\n{\"id\":\"job\",\"state\":\"done\",\"result\":\"washed\"}\n");
-            read(caller);
+            readOnce(caller);
         });
         String host = "{\"host\":\"n1\",\"dial\":\"127.0.0.1:" + node.socket.getLocalPort()
                 + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
-        Stand discovery = new Stand(caller -> {
-            read(caller);
+        StubServer discovery = new StubServer(caller -> {
+            readOnce(caller);
             if (full.getCount() == 0) {
                 calledWhileFull.countDown();
             }
-            if (up.getCount() > 0) {
+            if (discoveryUp.getCount() > 0) {
                 caller.close(); // down
                 return;
             }
@@ -121,8 +121,8 @@
                     caller,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
                             + "\r\n" + list + "\r\n");
-            told.countDown();
-            read(caller);
+            listSent.countDown();
+            readOnce(caller);
         });
         Path file = Files.writeString(
                 folder.resolve("c.json"),
@@ -139,11 +139,11 @@
                 file.toString());
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         builder.environment().put("TMPDIR", folder.toString());
-        Process served = builder.start();
+        Process process = builder.start();
         List<Socket> idle = new ArrayList<>();
         try (node;
                 discovery;
-                BufferedReader log = served.errorReader()) {
+                BufferedReader log = process.errorReader()) {
             String ready =
                     log.lines().filter(l -> l.contains("ready,")).findFirst().orElseThrow();
             for (int i = 0; i < IDLE_CLIENTS; i++) {
@@ -155,18 +155,20 @@
             assertThat(calledWhileFull.await(20, TimeUnit.SECONDS))
                     .as("calls for the list while clients hold all")
                     .isTrue();
-            String operators = "GET /control/counters HTTP/1.1\r\nHost: h\r\n\r\n";
-            assertThat(ask(port(ready, "control"), operators)).startsWith("HTTP/1.1 200 ");
-            up.countDown();
-            assertThat(told.await(20, TimeUnit.SECONDS)).as("the list was told").isTrue();
+            String countersCall = "GET /control/counters HTTP/1.1\r\nHost: h\r\n\r\n";
+            assertThat(ask(port(ready, "control"), countersCall)).startsWith("HTTP/1.1 200 ");
+            discoveryUp.countDown();
+            assertThat(listSent.await(20, TimeUnit.SECONDS))
+                    .as("the list was told")
+                    .isTrue();
             assertThat(ask(
                             port(ready, "http"),
                             "POST /route-plan HTTP/1.1\r\nHost: h\r\nX-Txn: job\r\nContent-Length: 1\r\n\r\nx"))
                     .startsWith("HTTP/1.1 200 ")
                     .endsWith("washed");
-            assertThat(ask(port(ready, "control"), operators)).startsWith("HTTP/1.1 200 ");
+            assertThat(ask(port(ready, "control"), countersCall)).startsWith("HTTP/1.1 200 ");
         } finally {
-            served.destroyForcibly();
+            process.destroyForcibly();
             for (Socket client : idle) {
                 client.close();
             }
