--- a/src/test/java/plumpost/cli/HangingWorkers.java
+++ b/src/test/java/plumpost/cli/HangingWorkers.java
@@ -20,19 +20,19 @@
     private static final Pattern ID = Pattern.compile("X-Txn: ([!-~]+)\r\n");
     private static final int BACKLOG = 512;
 
-    private final List<ServerSocket> sockets = new ArrayList<>();
-    private final Set<String> taken = ConcurrentHashMap.newKeySet();
+    private final List<ServerSocket> listeners = new ArrayList<>();
+    private final Set<String> takenIds = ConcurrentHashMap.newKeySet();
 
     HangingWorkers(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             ServerSocket socket = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-            sockets.add(socket);
-            daemon(() -> accept(socket));
+            listeners.add(socket);
+            startDaemon(() -> accept(socket));
         }
     }
 
-    private static void daemon(Runnable what) {
-        Thread thread = new Thread(what, "hanging worker");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "hanging worker");
         thread.setDaemon(true);
         thread.start();
     }
@@ -40,27 +40,27 @@
     private void accept(ServerSocket socket) {
         while (!socket.isClosed()) {
             try {
-                Socket caller = socket.accept();
-                daemon(() -> serve(caller));
+                Socket client = socket.accept();
+                startDaemon(() -> serve(client));
             } catch (IOException e) {
                 return; // closed
             }
         }
     }
 
-    private void serve(Socket caller) {
-        try (caller) {
+    private void serve(Socket client) {
+        try (client) {
             StringBuilder text = new StringBuilder();
             byte[] bytes = new byte[4096];
-            for (int n = caller.getInputStream().read(bytes);
+            for (int n = client.getInputStream().read(bytes);
                     n > 0;
-                    n = caller.getInputStream().read(bytes)) {
+                    n = client.getInputStream().read(bytes)) {
                 text.append(new String(bytes, 0, n, StandardCharsets.US_ASCII));
                 if (text.toString().startsWith("GET ") && text.toString().endsWith("\r\n\r\n")) {
-                    write(caller, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\ninflight=0,queue=0,x0=4");
+                    write(client, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\ninflight=0,queue=0,x0=4");
                     text.setLength(0);
                 } else if (text.toString().endsWith("\r\n\r\nx")) {
-                    take(caller, text.toString());
+                    take(client, text.toString());
                     text.setLength(0);
                 }
             }
@@ -70,13 +70,13 @@
         }
     }
 
-    private void take(Socket caller, String request) throws IOException {
+    private void take(Socket client, String request) throws IOException {
         Matcher id = ID.matcher(request);
         if (id.find()) {
-            taken.add(id.group(1));
+            takenIds.add(id.group(1));
             String line = "{\"id\":\"" + id.group(1) + "\",\"state\":\"started\"}\n";
             write(
-                    caller,
+                    client,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                             + "\r\n" + line + "\r\n");
         }
@@ -88,24 +88,24 @@
 
     /** Their lines of a node list. */
     String lines() {
-        return IntStream.range(0, sockets.size())
+        return IntStream.range(0, listeners.size())
                 .mapToObj(i -> "{\"host\":\"w" + i + "\",\"dial\":\"127.0.0.1:"
-                        + sockets.get(i).getLocalPort()
+                        + listeners.get(i).getLocalPort()
                         + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\",\"share\":1.0,\"born_ms\":0}")
                 .collect(Collectors.joining(","));
     }
 
     boolean hasTaken(String id) {
-        return taken.contains(id);
+        return takenIds.contains(id);
     }
 
-    int taken() {
-        return taken.size();
+    int takenCount() {
+        return takenIds.size();
     }
 
     @Override
     public void close() throws IOException {
-        for (ServerSocket socket : sockets) {
+        for (ServerSocket socket : listeners) {
             socket.close();
         }
     }
--- a/src/test/java/plumpost/cli/InheritedSocketIT.java
+++ b/src/test/java/plumpost/cli/InheritedSocketIT.java
@@ -42,7 +42,7 @@
         }
     }
 
-    private static void start(Process platform) throws IOException {
+    private static void startNextProcess(Process platform) throws IOException {
         platform.getOutputStream().write('\n');
         platform.getOutputStream().flush();
     }
@@ -60,17 +60,17 @@
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         builder.environment().put("NODE_FD", "0");
         Process platform = builder.start();
-        try (BufferedReader told = platform.inputReader();
+        try (BufferedReader output = platform.inputReader();
                 BufferedReader log = platform.errorReader()) {
-            int port = Integer.parseInt(told.readLine());
-            start(platform);
+            int port = Integer.parseInt(output.readLine());
+            startNextProcess(platform);
             ProcessHandle first =
-                    ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow();
+                    ProcessHandle.of(Long.parseLong(output.readLine())).orElseThrow();
             assertThat(log.readLine()).contains("ready, http /127.0.0.1:" + port);
             assertThat(ready(port)).startsWith("HTTP/1.1 200 ");
-            start(platform);
+            startNextProcess(platform);
             ProcessHandle second =
-                    ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow();
+                    ProcessHandle.of(Long.parseLong(output.readLine())).orElseThrow();
             assertThat(log.readLine()).contains("ready, http /127.0.0.1:" + port);
             first.destroy();
             first.onExit().get();
--- a/src/test/java/plumpost/cli/MainTest.java
+++ b/src/test/java/plumpost/cli/MainTest.java
@@ -37,7 +37,7 @@
     /** Guards that a bad command line is one line on standard error and exit code 2. */
     @ParameterizedTest
     @ValueSource(strings = {"", "fly", "serve --wings", "serve now", "check", "check --config /nowhere", "serve -c"})
-    void badArgumentsEndWithOneLine(String line) throws IOException {
+    void badArgumentsPrintOneLineAndReturn2(String line) throws IOException {
         assertThat(run(line.isEmpty() ? new String[0] : line.split(" "))).isEqualTo(2);
         assertThat(err.toString(StandardCharsets.UTF_8))
                 .startsWith("plumpost: ")
@@ -58,30 +58,30 @@
                 "\"plant\": \"plant-1\"~\"plant\": \"x\"~gearman.plant",
                 "\"effect\": \"free\"~\"effect\": \"fluid\"~effect"
             })
-    void badConfigurationIsNamed(String old, String now, String said) throws IOException {
-        String text = Files.readString(SAMPLE).replace(old.strip(), now == null ? "" : now);
+    void badConfigurationIsNamedInOneLine(String old, String replacement, String expected) throws IOException {
+        String text = Files.readString(SAMPLE).replace(old.strip(), replacement == null ? "" : replacement);
         Path file = Files.writeString(folder.resolve("c.json"), text);
         assertThat(run("check", "--config", file.toString())).isEqualTo(2);
-        assertThat(err.toString(StandardCharsets.UTF_8)).contains(said).hasLineCount(1);
+        assertThat(err.toString(StandardCharsets.UTF_8)).contains(expected).hasLineCount(1);
     }
 
     /** Guards the run at build from which the class archive is made: it serves a request and ends by itself. */
     @Test
     @Timeout(20)
-    void theWarmUpServesAndEnds() throws IOException {
+    void rehearseServesARequestAndEnds() throws IOException {
         assertThat(run("rehearse", "-c", SAMPLE.toString())).isZero();
     }
 
     /** Guards the module's picture of the fleet: an order that waits for its connection's proof still starts promptly. */
     @Test
-    void theModuleKnowsThatLinksTakeTime() {
+    void granularityIncludesTheLinkDelay() {
         NodeConfig config = NodeConfig.read(SAMPLE, java.util.Map.of());
         assertThat(config.settings().granularityMs()).isEqualTo(config.raw().number("granularityMs") + 2.5);
     }
 
     /** Guards the operator's file in the repository, and that the warm-up serves all its jobs by it. */
     @Test
-    void theOperatorsFileIsInOrder() throws IOException {
+    void theSampleConfigurationIsValid() throws IOException {
         assertThat(run("check", "-c", SAMPLE.toString())).isZero();
         assertThat(run("version")).isZero();
         assertThat(WarmUp.play(NodeConfig.read(SAMPLE, java.util.Map.of()))).isEqualTo(20);
--- a/src/test/java/plumpost/cli/ServeTest.java
+++ b/src/test/java/plumpost/cli/ServeTest.java
@@ -22,34 +22,34 @@
     @TempDir
     private Path folder;
 
-    private static String ask(Socket desk, String path) throws IOException {
-        desk.getOutputStream()
+    private static String ask(Socket client, String path) throws IOException {
+        client.getOutputStream()
                 .write(("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         byte[] answer = new byte[4096];
-        return new String(answer, 0, desk.getInputStream().read(answer), StandardCharsets.US_ASCII);
+        return new String(answer, 0, client.getInputStream().read(answer), StandardCharsets.US_ASCII);
     }
 
     /** Guards reloads: a bad file changes nothing, a good one moves the watch, and whoever is connected stays so. */
     @Test
     @Timeout(60)
-    void sighupMovesTheWatch() throws Exception {
+    void sighupMovesTheDiscoveryConnection() throws Exception {
         Path file = folder.resolve("c.json");
         String text = Files.readString(Path.of("deploy/gearman.json"))
                 .replace("127.0.0.1:8000", "127.0.0.1:0")
                 .replace("127.0.0.1:4730", "127.0.0.1:0");
         Files.writeString(file, text);
-        ProcessBuilder builder = start(file);
+        ProcessBuilder builder = processBuilder(file);
         builder.environment().put("NODE_DISCOVERY", "127.0.0.1:1");
-        Process served = builder.start();
-        try (BufferedReader log = served.errorReader();
+        Process process = builder.start();
+        try (BufferedReader log = process.errorReader();
                 ServerSocket discovery = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"))) {
             String ready =
                     log.lines().filter(l -> l.contains("ready,")).findFirst().orElseThrow();
-            try (Socket desk = new Socket("127.0.0.1", port(ready, "http"));
+            try (Socket client = new Socket("127.0.0.1", port(ready, "http"));
                     Socket worker = new Socket("127.0.0.1", port(ready, "gearman"))) {
-                assertThat(ask(desk, "/health/ready")).startsWith("HTTP/1.1 200 ");
+                assertThat(ask(client, "/health/ready")).startsWith("HTTP/1.1 200 ");
                 Files.writeString(file, text.substring(0, 300));
-                hangUp(served);
+                sendHangup(process);
                 assertThat(log.lines()
                                 .filter(l -> l.contains("old configuration stays"))
                                 .findFirst())
@@ -58,18 +58,22 @@
                         file,
                         text.replace(
                                 "\"seed\"", "\"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\", \"seed\""));
-                try (Socket watch = discovery.accept()) { // read again by itself: one SIGHUP is enough
-                    byte[] asked = new byte[100];
-                    assertThat(new String(asked, 0, watch.getInputStream().read(asked), StandardCharsets.US_ASCII))
+                try (Socket watchConnection = discovery.accept()) { // read again by itself: one SIGHUP is enough
+                    byte[] requestBytes = new byte[100];
+                    assertThat(new String(
+                                    requestBytes,
+                                    0,
+                                    watchConnection.getInputStream().read(requestBytes),
+                                    StandardCharsets.US_ASCII))
                             .startsWith("GET /registry/instances?follow=1 ");
-                    hangUp(served);
-                    assertThat(ask(desk, "/counters")).contains("list.moved 1\n");
+                    sendHangup(process);
+                    assertThat(ask(client, "/counters")).contains("list.moved 1\n");
                     worker.getOutputStream().write("version\n".getBytes(StandardCharsets.US_ASCII));
                     assertThat(worker.getInputStream().read()).isEqualTo('O');
                 }
             }
         } finally {
-            served.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 
@@ -90,25 +94,25 @@
         assertThat(new String(builder.start().getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
                 .contains("-Xmx" + heap + "m ")
                 .endsWith("serve\n");
-        assertThat(Serve.bounds((long) heap << 20, null).bodyBytes()).isLessThan((long) heap << 18);
+        assertThat(Serve.coreBounds((long) heap << 20, null).bodyBytes()).isLessThan((long) heap << 18);
     }
 
     /** Guards against a process that serves nothing and stays: an address that is taken ends the start, in one line. */
     @Test
     @Timeout(60)
-    void anAddressThatIsTakenEndsTheStart() throws Exception {
+    void startFailsWhenAnAddressIsInUse() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             Path file = Files.writeString(
                     folder.resolve("c.json"),
                     Files.readString(Path.of("deploy/gearman.json"))
                             .replace("127.0.0.1:8000", "127.0.0.1:0")
                             .replace("127.0.0.1:4730", "127.0.0.1:" + taken.getLocalPort()));
-            Process served = start(file).start();
-            try (BufferedReader log = served.errorReader()) {
+            Process process = processBuilder(file).start();
+            try (BufferedReader log = process.errorReader()) {
                 assertThat(log.lines().toList()).singleElement().asString().contains("cannot start", "in use");
-                assertThat(served.waitFor()).isEqualTo(2);
+                assertThat(process.waitFor()).isEqualTo(2);
             } finally {
-                served.destroyForcibly();
+                process.destroyForcibly();
             }
         }
     }
@@ -116,30 +120,30 @@
     /** Guards the deployed scheduler: while its file has no peers, nothing of the fleet's part or its engine is loaded. */
     @Test
     @Timeout(60)
-    void withoutPeersNothingOfTheFleetIsLoaded() throws Exception {
+    void withoutPeersNoFleetClassIsLoaded() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("c.json"),
                 Files.readString(Path.of("deploy/gearman.json"))
                         .replace("127.0.0.1:8000", "127.0.0.1:0")
                         .replace("127.0.0.1:4730", "127.0.0.1:0"));
         Path loaded = folder.resolve("loaded.txt");
-        ProcessBuilder builder = start(file);
+        ProcessBuilder builder = processBuilder(file);
         builder.command().add(1, "-Xlog:class+load:file=" + loaded);
-        Process served = builder.start();
-        try (BufferedReader log = served.errorReader()) {
+        Process process = builder.start();
+        try (BufferedReader log = process.errorReader()) {
             assertThat(log.readLine()).contains("ready, ");
-            served.toHandle().destroy();
-            assertThat(served.waitFor()).isZero();
+            process.toHandle().destroy();
+            assertThat(process.waitFor()).isZero();
         } finally {
-            served.destroyForcibly();
+            process.destroyForcibly();
         }
         assertThat(Files.readString(loaded))
                 .contains("plumpost.cli.Serve")
                 .doesNotContain("plumpost.fleet.", "plumpost.peers.", "PeersConfig", "ratis", "cbor");
     }
 
-    private static void hangUp(Process served) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(served.pid()))
+    private static void sendHangup(Process process) throws Exception {
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                         .start()
                         .waitFor())
                 .isZero();
@@ -149,7 +153,7 @@
         return Integer.parseInt(ready.replaceAll(".* " + front + " /127.0.0.1:([0-9]+).*", "$1"));
     }
 
-    private static ProcessBuilder start(Path file) {
+    private static ProcessBuilder processBuilder(Path file) {
         ProcessBuilder builder = new ProcessBuilder(
                 ProcessHandle.current().info().command().orElseThrow(),
                 "-cp",
@@ -165,36 +169,36 @@
     /** Guards the orderly end: SIGTERM closes what idles, prints the counters and ends with 0, not the signal's code. */
     @Test
     @Timeout(60)
-    void sigtermEndsItInOrder() throws Exception {
+    void sigtermStopsTheProcessInOrder() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("c.json"),
                 Files.readString(Path.of("deploy/gearman.json"))
                         .replace("127.0.0.1:8000", "127.0.0.1:0")
                         .replace("127.0.0.1:4730", "127.0.0.1:0"));
-        Process served = start(file).start();
-        try (BufferedReader log = served.errorReader()) {
+        Process process = processBuilder(file).start();
+        try (BufferedReader log = process.errorReader()) {
             String ready = log.readLine();
             assertThat(ready).contains("ready, http /127.0.0.1:", " gearman /127.0.0.1:");
             int port = port(ready, "http");
-            try (Socket desk = new Socket("127.0.0.1", port);
+            try (Socket client = new Socket("127.0.0.1", port);
                     Socket worker = new Socket("127.0.0.1", port(ready, "gearman"))) {
-                assertThat(ask(desk, "/health/ready")).startsWith("HTTP/1.1 200 ");
+                assertThat(ask(client, "/health/ready")).startsWith("HTTP/1.1 200 ");
                 worker.getOutputStream().write("version\n".getBytes(StandardCharsets.US_ASCII));
                 assertThat(worker.getInputStream().read()).isEqualTo('O');
-                assertThat(ask(desk, "/counters")).contains("front.requests 2\n");
-                served.toHandle().destroy(); // Process.destroy would close the log as well
+                assertThat(ask(client, "/counters")).contains("front.requests 2\n");
+                process.toHandle().destroy(); // Process.destroy would close the log as well
                 assertThat(log.readLine()).contains("stopping, 0 jobs open");
-                try (Socket late = new Socket("127.0.0.1", port)) {
-                    assertThat(ask(late, "/health/ready")).startsWith("HTTP/1.1 503 ");
+                try (Socket lateClient = new Socket("127.0.0.1", port)) {
+                    assertThat(ask(lateClient, "/health/ready")).startsWith("HTTP/1.1 503 ");
                 }
-                assertThat(desk.getInputStream().read())
+                assertThat(client.getInputStream().read())
                         .as("the idle connection's end")
                         .isEqualTo(-1);
             }
             assertThat(log.lines().collect(Collectors.joining("\n"))).contains("front.requests 3");
-            assertThat(served.waitFor()).isZero();
+            assertThat(process.waitFor()).isZero();
         } finally {
-            served.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 }
--- a/src/test/java/plumpost/cli/ShutdownFaultsIT.java
+++ b/src/test/java/plumpost/cli/ShutdownFaultsIT.java
@@ -32,11 +32,11 @@
     private static final long FIRST_REQUEST_MS = 200;
     private static final long LAST_REQUEST_MS = 3_600;
     /** Every third request comes in two pieces so far apart. */
-    private static final long BETWEEN_PIECES_MS = 100;
+    private static final long PIECE_GAP_MS = 100;
 
     private static final long HOUR_MS = 3_600_000;
     /** The users' terms: a process may be held up for so long between reading its clock and writing. */
-    private static final long HOLD_UP_MS = 150;
+    private static final long MAX_HOLD_UP_MS = 150;
 
     @TempDir
     private Path folder;
@@ -73,29 +73,30 @@
             disturb(timeline, disturbance, scheduler, faults);
             for (int i = 0; i < CLIENTS; i++) {
                 RestingClient client = clients.get(i);
-                long at = FIRST_REQUEST_MS + (LAST_REQUEST_MS - FIRST_REQUEST_MS) * i / (CLIENTS - 1);
+                long sendAtMs = FIRST_REQUEST_MS + (LAST_REQUEST_MS - FIRST_REQUEST_MS) * i / (CLIENTS - 1);
                 if (client.sendsInPieces()) {
-                    timeline.at(at, client::sendFirstPiece);
-                    timeline.at(Math.min(at + BETWEEN_PIECES_MS, LAST_REQUEST_MS), client::sendLastPiece);
+                    timeline.schedule(sendAtMs, client::sendFirstPiece);
+                    timeline.schedule(Math.min(sendAtMs + PIECE_GAP_MS, LAST_REQUEST_MS), client::sendLastPiece);
                 } else {
-                    timeline.at(at, client::sendWhole);
+                    timeline.schedule(sendAtMs, client::sendWhole);
                 }
             }
-            timeline.at(KILL_AFTER_MS, scheduler::kill);
-            timeline.play();
+            timeline.schedule(KILL_AFTER_MS, scheduler::kill);
+            timeline.run();
             scheduler.awaitEnd(TimeUnit.SECONDS.toMillis(10));
             List<String> lost = new ArrayList<>();
             for (RestingClient client : clients) {
                 client.awaitEnd();
                 boolean taken = workers.hasTaken(client.id()) || client.endedByReset();
                 if (client.sentAtNs() > 0 && taken && !client.answered()) {
-                    lost.add(client.id() + " sent whole " + timeline.since(client.sentAtNs()) + " ms after SIGTERM");
+                    lost.add(client.id() + " sent whole " + timeline.sinceStartMs(client.sentAtNs())
+                            + " ms after SIGTERM");
                 }
             }
             assertThat(lost)
                     .as("forwarded or read, and never answered; log %s", scheduler.log())
                     .isEmpty();
-            assertThat(workers.taken()).as("requests that were sent on").isPositive();
+            assertThat(workers.takenCount()).as("requests that were sent on").isPositive();
         }
     }
 
@@ -103,24 +104,24 @@
             Timeline timeline, Disturbance disturbance, SchedulerProcess scheduler, FaultLibrary faults) {
         switch (disturbance) {
             case NONE -> {}
-            case SUSPENDED_AT_THE_SIGNAL -> timeline.at(HOLD_UP_MS, scheduler::resume);
+            case SUSPENDED_AT_THE_SIGNAL -> timeline.schedule(MAX_HOLD_UP_MS, scheduler::resume);
             case SUSPENDED_AT_THE_LAST_CALL -> suspendAt(timeline, scheduler, 3_000, 3_600, 100);
             case SUSPENDED_AGAIN_AND_AGAIN -> suspendAt(timeline, scheduler, 20, 3_600, 250);
-            case HELD_UP_AFTER_CLOCK_READS -> timeline.at(0, () -> faults.holdUp(HOLD_UP_MS, 100));
-            case WALL_CLOCK_STEPS_BACK -> timeline.at(0, () -> faults.stepWallClock(-HOUR_MS));
-            case WALL_CLOCK_STEPS_FORWARD -> timeline.at(0, () -> faults.stepWallClock(HOUR_MS));
+            case HELD_UP_AFTER_CLOCK_READS -> timeline.schedule(0, () -> faults.holdUp(MAX_HOLD_UP_MS, 100));
+            case WALL_CLOCK_STEPS_BACK -> timeline.schedule(0, () -> faults.stepWallClock(-HOUR_MS));
+            case WALL_CLOCK_STEPS_FORWARD -> timeline.schedule(0, () -> faults.stepWallClock(HOUR_MS));
             case WALL_CLOCK_STEPS_TWICE -> {
-                timeline.at(0, () -> faults.stepWallClock(HOUR_MS));
-                timeline.at(600, () -> faults.stepWallClock(-HOUR_MS));
+                timeline.schedule(0, () -> faults.stepWallClock(HOUR_MS));
+                timeline.schedule(600, () -> faults.stepWallClock(-HOUR_MS));
             }
             default -> throw new IllegalArgumentException(disturbance.name());
         }
     }
 
     private static void suspendAt(Timeline timeline, SchedulerProcess scheduler, long fromMs, long toMs, long gapMs) {
-        for (long at = fromMs; at + HOLD_UP_MS < toMs; at += HOLD_UP_MS + gapMs) {
-            timeline.at(at, scheduler::suspend);
-            timeline.at(at + HOLD_UP_MS, scheduler::resume);
+        for (long atMs = fromMs; atMs + MAX_HOLD_UP_MS < toMs; atMs += MAX_HOLD_UP_MS + gapMs) {
+            timeline.schedule(atMs, scheduler::suspend);
+            timeline.schedule(atMs + MAX_HOLD_UP_MS, scheduler::resume);
         }
     }
 
--- a/src/test/java/plumpost/cli/Timeline.java
+++ b/src/test/java/plumpost/cli/Timeline.java
@@ -13,27 +13,27 @@
 
     private record Step(long atMs, long order, Action action) {}
 
-    private final long beganNs = System.nanoTime();
+    private final long startNs = System.nanoTime();
     private final PriorityQueue<Step> steps =
             new PriorityQueue<>(Comparator.comparingLong(Step::atMs).thenComparingLong(Step::order));
-    private long added;
+    private long addedCount;
 
     /** Adds a step; of two at the same time, the one added first comes first. */
-    void at(long ms, Action action) {
-        steps.add(new Step(ms, added++, action));
+    void schedule(long atMs, Action action) {
+        steps.add(new Step(atMs, addedCount++, action));
     }
 
     /** Milliseconds from the timeline's beginning to a reading of {@link System#nanoTime}. */
-    long since(long ns) {
-        return TimeUnit.NANOSECONDS.toMillis(ns - beganNs);
+    long sinceStartMs(long timeNs) {
+        return TimeUnit.NANOSECONDS.toMillis(timeNs - startNs);
     }
 
     /** Plays all steps, each at its time or as soon after it as the one before has ended. */
-    void play() throws Exception {
+    void run() throws Exception {
         for (Step step = steps.poll(); step != null; step = steps.poll()) {
-            long leftNs = beganNs + TimeUnit.MILLISECONDS.toNanos(step.atMs) - System.nanoTime();
-            if (leftNs > 0) {
-                TimeUnit.NANOSECONDS.sleep(leftNs);
+            long delayNs = startNs + TimeUnit.MILLISECONDS.toNanos(step.atMs) - System.nanoTime();
+            if (delayNs > 0) {
+                TimeUnit.NANOSECONDS.sleep(delayNs);
             }
             step.action.run();
         }
--- a/src/test/java/plumpost/config/FleetSettingsTest.java
+++ b/src/test/java/plumpost/config/FleetSettingsTest.java
@@ -23,7 +23,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "-14"})
-    void noSchedulersAtAllIsRefused(String balancers) {
+    void fewerThanOneSchedulerIsRefused(String balancers) {
         assertThatThrownBy(() -> settings("\"balancers\":" + balancers + ","))
                 .isInstanceOf(Json.BadInput.class)
                 .hasMessageContaining("balancers must be at least 1");
@@ -31,7 +31,7 @@
 
     /** Alone, in one plant of one model, no rule for cold nodes: what a file means that says nothing of the fleet. */
     @Test
-    void aFileThatSaysNothingOfTheFleetMeansOneScheduler() {
+    void withoutFleetSettingsThereIsOneScheduler() {
         Dispatcher.Settings alone = settings("");
         assertThat(alone.balancers()).isEqualTo(1);
         assertThat(alone.zones()).isEqualTo(1);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void noPlantsNamedMeansOnePlant() {
+    void withoutPlantNamesThereIsOnePlant() {
         assertThat(settings("\"balancers\":100,\"dcs\":[],\"shapes\":[],").zones())
                 .isEqualTo(1);
     }
--- a/src/test/java/plumpost/config/OptionalPartsTest.java
+++ b/src/test/java/plumpost/config/OptionalPartsTest.java
@@ -21,7 +21,7 @@
 /** Parts of the platform's configuration that are optional or not known here never keep the program from serving. */
 class OptionalPartsTest {
     /** All that the platform's pages tell, on a deployment whose schedulers may talk. */
-    private static final String WHOLE = """
+    private static final String COMPLETE_FILE = """
         {"name":"n3","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
         "peers":["127.0.0.1:9001","127.0.0.1:9002"],"peers_all":"127.0.0.1:9100","peer_listen":"127.0.0.1:9000",
@@ -53,87 +53,89 @@
             "settings.classes.effect",
             "settings.rules");
     /** Limits in use: a number out of their range is a wrong limit, and is told as one. */
-    private static final List<String> RANGES = List.of("limits.sockets", "settings.ceilings.maxAttempts");
+    private static final List<String> RANGE_CHECKED = List.of("limits.sockets", "settings.ceilings.maxAttempts");
 
     @TempDir
     private Path folder;
 
-    private static List<Object> kinds() {
-        List<Object> all = new ArrayList<>(List.of(true, 70L, 70.5, "", "text", List.of(), List.of("a", 1L, Map.of())));
-        all.addAll(
+    private static List<Object> valuesOfEachKind() {
+        List<Object> values =
+                new ArrayList<>(List.of(true, 70L, 70.5, "", "text", List.of(), List.of("a", 1L, Map.of())));
+        values.addAll(
                 List.of(Map.of(), Map.of("127.0.0.1:9001", "n1"), Map.of("n1", Map.of("address", "127.0.0.1:9001"))));
-        all.add(null);
-        return all;
+        values.add(null);
+        return values;
     }
 
-    private static List<String> paths(String at, Object value) {
-        List<String> all = new ArrayList<>();
+    private static List<String> paths(String prefix, Object value) {
+        List<String> paths = new ArrayList<>();
         if (value instanceof Map<?, ?> map) {
             map.forEach((name, inner) -> {
-                String path = at.isEmpty() ? (String) name : at + "." + name;
-                all.add(path);
-                all.addAll(paths(path, inner));
+                String path = prefix.isEmpty() ? (String) name : prefix + "." + name;
+                paths.add(path);
+                paths.addAll(paths(path, inner));
             });
         } else if (value instanceof List<?> list && !list.isEmpty()) {
-            all.addAll(paths(at, list.get(0)));
+            paths.addAll(paths(prefix, list.get(0)));
         }
-        return all;
+        return paths;
     }
 
     /** The value with another in the place of a path; a list stands for its first item. */
-    private static Object with(Object whole, List<String> path, Object value) {
+    private static Object replaced(Object whole, List<String> path, Object value) {
         if (path.isEmpty()) {
             return value;
         }
         if (whole instanceof List<?> list) {
-            return List.of(with(list.get(0), path, value));
+            return List.of(replaced(list.get(0), path, value));
         }
         Map<String, Object> copy = new LinkedHashMap<>();
         ((Map<?, ?>) whole)
                 .forEach((name, inner) -> copy.put(
                         (String) name,
-                        name.equals(path.get(0)) ? with(inner, path.subList(1, path.size()), value) : inner));
+                        name.equals(path.get(0)) ? replaced(inner, path.subList(1, path.size()), value) : inner));
         return copy;
     }
 
-    private static Fields whole() {
-        return Json.object("configuration", WHOLE.getBytes(StandardCharsets.UTF_8))
+    private static Fields completeFile() {
+        return Json.object("configuration", COMPLETE_FILE.getBytes(StandardCharsets.UTF_8))
                 .lenient();
     }
 
-    private static NodeConfig with(String path, Object value) {
-        Object changed = with(whole().map(), List.of(path.split("\\.")), value);
+    private static NodeConfig replaced(String path, Object value) {
+        Object changed = replaced(completeFile().map(), List.of(path.split("\\.")), value);
         return NodeConfig.from(Json.fields("configuration", changed).lenient(), Map.of());
     }
 
     /** Guards the start: each kind of value in each optional place, the platform's talk of peers among them. */
     @Test
-    void noOptionalPartKeepsTheProgramFromServing() {
-        int played = 0;
-        for (String path : paths("", whole().map())) {
-            for (Object value : kinds()) {
-                boolean range = RANGES.contains(path) && value instanceof Number;
+    void noOptionalValuePreventsTheStart() {
+        int checked = 0;
+        for (String path : paths("", completeFile().map())) {
+            for (Object value : valuesOfEachKind()) {
+                boolean range = RANGE_CHECKED.contains(path) && value instanceof Number;
                 if (!REQUIRED.contains(path) && !range && !(path.equals("discovery") && value instanceof String)) {
-                    NodeConfig config = with(path, value);
+                    NodeConfig config = replaced(path, value);
                     assertThat(config.peers()).as(path + " " + value).isNull();
                     assertThat(config.listen().getPort()).isEqualTo(8000);
-                    played++;
+                    checked++;
                 }
             }
         }
-        assertThat(played).isGreaterThan(700);
+        assertThat(checked).isGreaterThan(700);
     }
 
     /** Guards the same for keys that no page has yet, at the top and in each object. */
     @Test
-    void unknownKeysArePassedOver() {
-        for (Object value : kinds()) {
+    void unknownKeysAreIgnored() {
+        for (Object value : valuesOfEachKind()) {
             for (String path : List.of("", "limits.", "settings.", "settings.rules.", "settings.ceilings.", "known.")) {
-                Object changed = with(whole().map(), List.of((path + "unheard_of").split("\\.")), value);
-                Map<String, Object> grown =
+                Object changed = replaced(completeFile().map(), List.of((path + "unheard_of").split("\\.")), value);
+                Map<String, Object> extended =
                         new LinkedHashMap<>(Json.fields("c", changed).map());
-                grown.put("unheard_of", value);
-                assertThat(NodeConfig.from(Json.fields("configuration", grown).lenient(), Map.of())
+                extended.put("unheard_of", value);
+                assertThat(NodeConfig.from(
+                                        Json.fields("configuration", extended).lenient(), Map.of())
                                 .name())
                         .isEqualTo("n3");
             }
@@ -142,28 +144,28 @@
 
     /** Guards whoever looks for the cause: what is passed over is told by its name, its value and what was wanted. */
     @Test
-    void whatIsPassedOverIsTold() throws IOException {
+    void ignoredFieldsAreReported() throws IOException {
         Path file = folder.resolve("c.json");
-        Files.writeString(file, WHOLE.replace("\"tellsStart\":true", "\"tellsStart\":\"maybe\""));
+        Files.writeString(file, COMPLETE_FILE.replace("\"tellsStart\":true", "\"tellsStart\":\"maybe\""));
         Fields read = NodeConfig.parse(file);
         assertThat(NodeConfig.from(read, Map.of()).settings().tellsStart()).isFalse();
-        assertThat(read.passedOver())
+        assertThat(read.ignored())
                 .containsExactly("configuration.settings.familyInfo: field tellsStart is maybe, not true or false,"
                         + " and is passed over");
     }
 
     /** Guards a running scheduler: at SIGHUP a value that would be passed over is a bad file, and the old one holds. */
     @Test
-    void atSighupTheOldFileIsBetter() {
+    void atSighupAFileWithAnIgnoredFieldIsRejected() {
         Fields bad = Json.object(
                         "configuration",
-                        WHOLE.replace("\"probes\":true", "\"probes\":7").getBytes(StandardCharsets.UTF_8))
+                        COMPLETE_FILE.replace("\"probes\":true", "\"probes\":7").getBytes(StandardCharsets.UTF_8))
                 .lenient();
-        assertThatThrownBy(() -> NodeConfig.again(whole(), bad, Map.of()))
+        assertThatThrownBy(() -> NodeConfig.reload(completeFile(), bad, Map.of()))
                 .isInstanceOf(BadInput.class)
                 .hasMessageContaining("field probes is 7");
         Fields again = Json.fields("configuration", bad.map()).lenient();
-        assertThat(NodeConfig.again(bad, again, Map.of()).name())
+        assertThat(NodeConfig.reload(bad, again, Map.of()).name())
                 .as("a file like the one of the start")
                 .isEqualTo("n3");
     }
@@ -171,11 +173,12 @@
     /** Guards fleets: the section holds under both names, and one that is misspelt is told and not taken for addresses. */
     @ParameterizedTest
     @ValueSource(strings = {"peers", "plumpost_fleet"})
-    void theFleetsSectionKeepsWorking(String name) {
+    void theFleetSectionIsReadUnderBothNames(String name) {
         Map<String, Object> section = Map.of("data", "/nowhere", "members", List.of());
-        Map<String, Object> grown = new LinkedHashMap<>(whole().map());
-        grown.put(name, section);
-        NodeConfig config = NodeConfig.from(Json.fields("configuration", grown).lenient(), Map.of());
+        Map<String, Object> extended = new LinkedHashMap<>(completeFile().map());
+        extended.put(name, section);
+        NodeConfig config =
+                NodeConfig.from(Json.fields("configuration", extended).lenient(), Map.of());
         assertThat(config.peers().map()).isEqualTo(section);
         assertThatThrownBy(() -> PeersConfig.read(config.peers(), "n3", null, false))
                 .isInstanceOf(BadInput.class)
--- a/src/test/java/plumpost/config/PeersConfigTest.java
+++ b/src/test/java/plumpost/config/PeersConfigTest.java
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void theUsualValuesHold() {
-        PeersConfig c = read(GOOD);
-        assertThat(c.lostMs()).isEqualTo(1500);
-        assertThat(c.covered().classes())
+    void defaultsApplyWhereNothingIsGiven() {
+        PeersConfig config = read(GOOD);
+        assertThat(config.lostMs()).isEqualTo(1500);
+        assertThat(config.covered().classes())
                 .as("nothing is covered unless the file says so")
                 .isEmpty();
-        assertThat(c.self().vote()).isTrue();
-        assertThat(c.voters()).extracting(PeersConfig.Member::name).containsExactly("a");
+        assertThat(config.self().vote()).isTrue();
+        assertThat(config.voters()).extracting(PeersConfig.Member::name).containsExactly("a");
         assertThat(PeersConfig.read(Json.object("peers", GOOD.getBytes(StandardCharsets.UTF_8)), "b", "/x", true)
                         .data())
                 .isEqualTo(Path.of("/x"));
@@ -35,7 +35,7 @@
 
     /** Guards large fleets: 1,024 members are taken, and one more is told. */
     @Test
-    void aThousandMembersAreTaken() {
+    void upTo1024MembersAreAccepted() {
         StringBuilder more = new StringBuilder();
         for (int i = 3; i <= 1024; i++) {
             more.append(",{\"name\":\"m")
@@ -66,9 +66,9 @@
                 "\"group\"|\"awaitMs\":9,\"group\"|field awaitMs is 9, not from 100 to 3600000",
                 "\"group\"|\"gruop\"|field gruop is not a setting"
             })
-    void whatIsWrongIsTold(String from, String to, String words) {
+    void faultsAreReportedWithFieldAndValue(String from, String to, String message) {
         assertThatThrownBy(() -> read(GOOD.replace(from, to)))
                 .isInstanceOf(BadInput.class)
-                .hasMessageContaining(words);
+                .hasMessageContaining(message);
     }
 }
--- a/src/test/java/plumpost/config/SighupFilesTest.java
+++ b/src/test/java/plumpost/config/SighupFilesTest.java
@@ -25,14 +25,14 @@
 
     /** Guards the good case: new classes and fewer attempts are taken. */
     @Test
-    void aGoodFileIsTaken() {
-        String next = GOOD.replace("\"maxAttempts\":6", "\"maxAttempts\":2")
+    void aGoodFileIsApplied() {
+        String changed = GOOD.replace("\"maxAttempts\":6", "\"maxAttempts\":2")
                 .replace(
                         "]",
                         ",{\"name\":\"route-plan-r2\",\"sloMs\":600.0,\"deadlineMs\":8000.0,\"effect\":\"single_shot\"}]");
-        NodeConfig c = NodeConfig.again(json(GOOD), json(next), Map.of());
-        assertThat(c.settings().classes()).hasSize(3);
-        assertThat(c.settings().limits().maxAttempts()).isEqualTo(2);
+        NodeConfig config = NodeConfig.reload(json(GOOD), json(changed), Map.of());
+        assertThat(config.settings().classes()).hasSize(3);
+        assertThat(config.settings().limits().maxAttempts()).isEqualTo(2);
     }
 
     /** Guards the old settings against each kind of broken file: nothing of it is taken, the word names the fault. */
@@ -50,19 +50,19 @@
                 "\"maxAttempts\":6=\"maxAttempts\":0                     | maxAttempts must be at least 1",
                 "\"maxAttempts\":6=\"maxAttempts\":-2                    | maxAttempts must be at least 1",
             })
-    void aBrokenFileIsTurnedDown(String change, String word) {
+    void aBrokenFileIsRejected(String change, String message) {
         String broken;
         if (change == null) {
             broken = "";
         } else if (!change.contains("=")) {
             broken = change;
         } else {
-            String[] p = change.split("=", 2);
-            broken = GOOD.replace(p[0], p[1]);
+            String[] parts = change.split("=", 2);
+            broken = GOOD.replace(parts[0], parts[1]);
             assertThat(broken).isNotEqualTo(GOOD);
         }
-        assertThatThrownBy(() -> NodeConfig.again(json(GOOD), json(broken), Map.of()))
+        assertThatThrownBy(() -> NodeConfig.reload(json(GOOD), json(broken), Map.of()))
                 .isInstanceOf(Json.BadInput.class)
-                .hasMessageContaining(word.strip());
+                .hasMessageContaining(message.strip());
     }
 }
--- a/src/test/java/plumpost/control/ControlTest.java
+++ b/src/test/java/plumpost/control/ControlTest.java
@@ -10,13 +10,13 @@
 
     /** Guards the upgrade's yes: ready says 200 while the process serves, 503 once it drains. */
     @Test
-    void readySaysWhetherTheProcessServes() {
-        Scenario s = new Scenario(1).play("""
+    void readyReportsWhetherTheProcessServes() {
+        Scenario scenario = new Scenario(1).play("""
             ops1 send GET /control/ready
             ops1 expect 200 ready*
             """);
-        s.serving = false;
-        s.play("""
+        scenario.serving = false;
+        scenario.play("""
             ops2 send GET /control/ready
             ops2 expect 503 *
             ops2 expect closed
@@ -25,8 +25,8 @@
 
     /** Guards the drain rule on maintenance: after the yes nothing new goes out, and the call back brings it back. */
     @Test
-    void aNodeOutByHandGetsNothingNewUntilItIsBack() {
-        Scenario s = new Scenario(1).play("""
+    void aNodeTakenOfflineGetsNoNewJobUntilItIsBack() {
+        Scenario scenario = new Scenario(1).play("""
             ops1 send POST /control/workers/node1/offline
             ops1 expect 200 *
             desk1 send POST /route-plan a 8000 x
@@ -39,34 +39,34 @@
             node1 send done a route
             desk1 expect 200 route
             """);
-        assertThat(s.counters.of("guard.drain")).isZero();
+        assertThat(scenario.counters.of("guard.drain")).isZero();
     }
 
     /** Guards an order whose last byte is held back when the call comes: it must not be finished on that node. */
     @Test
-    void anOrderHalfWrittenWhenTheCallComesIsNotFinishedThere() {
-        Scenario s = new Scenario(1).play("""
+    void anOrderHalfWrittenWhenItsNodeGoesOfflineIsNotCompleted() {
+        Scenario scenario = new Scenario(1).play("""
             desk1 send POST /pickup-order a 20000 towels
             wait 2
             ops1 send POST /control/workers/node1/offline
             ops1 expect 200 *
             wait 10
             """);
-        assertThat(s.counters.of("attempts.whole.pickup-order")).isZero();
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.whole.pickup-order")).isZero();
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
     }
 
     /** Guards the ban against the list: a later whole list that says the node is up does not lift it. */
     @Test
-    void theBanOutlivesTheList() {
-        Scenario s = new Scenario(1).play("""
+    void aBanOutlivesANewNodeList() {
+        Scenario scenario = new Scenario(1).play("""
             ops1 send POST /control/workers/node1/offline
             ops1 expect 200 *
             wait 4000
             list expect GET /registry/instances?follow=1&since=1
             """);
-        s.play("list send {\"seq\":2,\"whole\":true,\"hosts\":[" + Scenario.host(1, "up", 0) + "]}");
-        s.play("""
+        scenario.play("list send {\"seq\":2,\"whole\":true,\"hosts\":[" + Scenario.host(1, "up", 0) + "]}");
+        scenario.play("""
             desk1 send POST /route-plan a 8000 x
             wait 600
             node1 expect nothing
@@ -81,8 +81,8 @@
 
     /** Guards the operators' no: an id that was never listed, a path or method that does not exist. */
     @Test
-    void unknownIdsPathsAndMethodsGetANo() {
-        Scenario s = new Scenario(1).play("""
+    void unknownIdsPathsAndMethodsAreRejected() {
+        Scenario scenario = new Scenario(1).play("""
             ops1 send POST /control/workers/node9/offline
             ops1 expect 404 *
             ops2 send POST /control/workers/node9/online
@@ -98,12 +98,12 @@
             ops7 send "GET /control/ready HTTP/1.1\\r\\nbad line\\r\\n\\r\\n"
             ops7 expect 400 *
             """);
-        assertThat(s.room.avoided()).isZero();
+        assertThat(scenario.room.avoided()).isZero();
     }
 
     /** Guards the places of others against a caller who never ends its call: it is cut, and only it. */
     @Test
-    void aHalfWrittenCallIsCutAfterItsTime() {
+    void anUnfinishedCallIsClosedAfterItsTimeout() {
         new Scenario(1).play("""
             ops1 send "GET /control/rea"
             wait 9000
@@ -117,8 +117,8 @@
 
     /** Guards the figures: what the core did, by class, counted as it happened. */
     @Test
-    void theFiguresCountWhatHappened() {
-        Scenario s = new Scenario(1).play("""
+    void theCountersMatchWhatHappened() {
+        Scenario scenario = new Scenario(1).play("""
             desk1 send POST /route-plan a 8000 x
             node1 expect POST /route-plan a x
             node1 send done a route
@@ -130,7 +130,7 @@
             ops1 send POST /control/workers/node1/offline
             ops1 expect 200 *
             """);
-        assertThat(new ControlOperations(s.room, s.counters, null, () -> true).figures())
+        assertThat(new ControlOperations(scenario.room, scenario.counters, null, () -> true).statsdLines())
                 .isEqualTo("""
             node.succeeded.route-plan:1|c
             node.declined.route-plan:0|c
@@ -147,10 +147,10 @@
             node.discovered:1|g
             node.ejected:1|g
             """);
-        s.play("""
+        scenario.play("""
             ops2 send GET /control/counters
             ops2 expect 200 node.succeeded.route-plan:1|c*
             """);
-        assertThat(s.counters.of("jobs.served.route-plan")).isEqualTo(1);
+        assertThat(scenario.counters.of("jobs.served.route-plan")).isEqualTo(1);
     }
 }
--- a/src/test/java/plumpost/control/HostileCallsTest.java
+++ b/src/test/java/plumpost/control/HostileCallsTest.java
@@ -26,39 +26,40 @@
 
     /** Guards the listener's state machine against any bytes in any pieces: at most one answer, a known status. */
     @Property(tries = 600, seed = "600")
-    void anyBytesInAnyPiecesGetOneAnswerAtMost(@ForAll("calls") byte[] bytes, @ForAll("cuts") List<Integer> cuts) {
-        Scenario s = new Scenario(1);
-        Mouth m = new Mouth();
-        ConnectionHandler call = s.control.accept(m);
-        int at = 0;
+    void anyBytesInAnyPiecesGetAtMostOneAnswer(@ForAll("calls") byte[] bytes, @ForAll("cuts") List<Integer> cuts) {
+        Scenario scenario = new Scenario(1);
+        RecordingConnection connection = new RecordingConnection();
+        ConnectionHandler call = scenario.control.accept(connection);
+        int offset = 0;
         for (int cut : cuts) {
-            int end = Math.min(bytes.length, at + cut);
-            call.bytes(ByteBuffer.wrap(bytes, at, end - at).slice());
-            at = end;
+            int end = Math.min(bytes.length, offset + cut);
+            call.bytes(ByteBuffer.wrap(bytes, offset, end - offset).slice());
+            offset = end;
         }
-        call.bytes(ByteBuffer.wrap(bytes, at, bytes.length - at).slice());
-        String said = new String(m.said(), StandardCharsets.ISO_8859_1);
-        assertThat(s.counters.of("net.fault") + s.counters.of("guard.fault")).isZero();
-        int answers = said.split("HTTP/1.1 ", -1).length - 1;
+        call.bytes(ByteBuffer.wrap(bytes, offset, bytes.length - offset).slice());
+        String output = new String(connection.written(), StandardCharsets.ISO_8859_1);
+        assertThat(scenario.counters.of("net.fault") + scenario.counters.of("guard.fault"))
+                .isZero();
+        int answers = output.split("HTTP/1.1 ", -1).length - 1;
         assertThat(answers).isLessThanOrEqualTo(1);
         if (answers == 1) {
-            assertThat(said).matches("(?s)HTTP/1.1 (200|400|404|405|413|431|503) .*");
-            assertThat(m.closed).isTrue();
+            assertThat(output).matches("(?s)HTTP/1.1 (200|400|404|405|413|431|503) .*");
+            assertThat(connection.closed).isTrue();
         }
     }
 
     @Provide
     Arbitrary<byte[]> calls() {
-        Arbitrary<byte[]> good = Arbitraries.of(CALLS).map(c -> c.getBytes(StandardCharsets.ISO_8859_1));
-        Arbitrary<byte[]> mangled = good.flatMap(b -> Arbitraries.integers()
-                .between(0, b.length - 1)
-                .flatMap(i -> Arbitraries.bytes().map(x -> {
-                    byte[] c = b.clone();
-                    c[i] = x;
-                    return c;
+        Arbitrary<byte[]> valid = Arbitraries.of(CALLS).map(copy -> copy.getBytes(StandardCharsets.ISO_8859_1));
+        Arbitrary<byte[]> mangled = valid.flatMap(bytes -> Arbitraries.integers()
+                .between(0, bytes.length - 1)
+                .flatMap(index -> Arbitraries.bytes().map(replacement -> {
+                    byte[] copy = bytes.clone();
+                    copy[index] = replacement;
+                    return copy;
                 })));
         Arbitrary<byte[]> noise = Arbitraries.bytes().array(byte[].class).ofMaxSize(20_000);
-        return Arbitraries.oneOf(good, mangled, noise);
+        return Arbitraries.oneOf(valid, mangled, noise);
     }
 
     @Provide
@@ -67,22 +68,22 @@
     }
 
     /** One connection that keeps what is written to it. */
-    private static final class Mouth implements Connection {
+    private static final class RecordingConnection implements Connection {
         private final List<ByteBuffer> out = new ArrayList<>();
         private boolean closed;
 
         @Override
         public void write(ByteBuffer... parts) {
-            for (ByteBuffer p : parts) {
-                out.add(p.duplicate());
+            for (ByteBuffer part : parts) {
+                out.add(part.duplicate());
             }
         }
 
-        byte[] said() {
-            int n = out.stream().mapToInt(ByteBuffer::remaining).sum();
-            ByteBuffer all = ByteBuffer.allocate(n);
-            out.forEach(b -> all.put(b.duplicate()));
-            return all.array();
+        byte[] written() {
+            int size = out.stream().mapToInt(ByteBuffer::remaining).sum();
+            ByteBuffer bytes = ByteBuffer.allocate(size);
+            out.forEach(b -> bytes.put(b.duplicate()));
+            return bytes.array();
         }
 
         @Override
--- a/src/test/java/plumpost/control/SharedBansTest.java
+++ b/src/test/java/plumpost/control/SharedBansTest.java
@@ -16,35 +16,36 @@
 
     /** Guards the overlap of an upgrade: a ban told to one holds in the other within the grace, and so does its end. */
     @Test
-    void aBanToldToOneHoldsInTheOther(@TempDir Path dir) {
-        Scenario old = new Scenario(1);
-        Scenario fresh = new Scenario(1);
-        SharedBans oldFile = new SharedBans(dir, old.room, kit(old));
-        SharedBans freshFile = new SharedBans(dir, fresh.room, kit(fresh));
-        ControlOperations oldDesk = new ControlOperations(old.room, old.counters, oldFile, () -> true);
-        oldFile.begin();
-        freshFile.begin();
-        assertThat(oldDesk.offline("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
-        fresh.play("wait " + (SharedBans.LOOK_MS + 4));
-        assertThat(fresh.room.avoided()).isEqualTo(1);
-        fresh.play("""
+    void aBanSetInOneProcessHoldsInTheOther(@TempDir Path directory) {
+        Scenario oldProcess = new Scenario(1);
+        Scenario newProcess = new Scenario(1);
+        SharedBans oldBans = new SharedBans(directory, oldProcess.room, context(oldProcess));
+        SharedBans newBans = new SharedBans(directory, newProcess.room, context(newProcess));
+        ControlOperations oldOperations =
+                new ControlOperations(oldProcess.room, oldProcess.counters, oldBans, () -> true);
+        oldBans.start();
+        newBans.start();
+        assertThat(oldOperations.takeOffline("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
+        newProcess.play("wait " + (SharedBans.POLL_INTERVAL_MS + 4));
+        assertThat(newProcess.room.avoided()).isEqualTo(1);
+        newProcess.play("""
             desk1 send POST /route-plan a 8000 x
             wait 300
             node1 expect nothing
             """);
-        new ControlOperations(fresh.room, fresh.counters, freshFile, () -> true).online("node1");
-        old.play("wait " + (SharedBans.LOOK_MS + 4));
-        assertThat(old.room.avoided()).isZero();
+        new ControlOperations(newProcess.room, newProcess.counters, newBans, () -> true).bringOnline("node1");
+        oldProcess.play("wait " + (SharedBans.POLL_INTERVAL_MS + 4));
+        assertThat(oldProcess.room.avoided()).isZero();
     }
 
     /** Guards the next process: it starts with the bans that the last one left, and a torn file is passed over. */
     @Test
-    void theNextProcessStartsWithTheBans(@TempDir Path dir) throws IOException {
-        Files.writeString(dir.resolve(SharedBans.NAME), "node1\n");
-        Scenario fresh = new Scenario(2);
-        new SharedBans(dir, fresh.room, kit(fresh)).begin();
-        assertThat(fresh.room.avoided()).isEqualTo(1);
-        assertThat(fresh.room.online("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
+    void theNextProcessTakesOverTheBans(@TempDir Path directory) throws IOException {
+        Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node1\n");
+        Scenario newProcess = new Scenario(2);
+        new SharedBans(directory, newProcess.room, context(newProcess)).start();
+        assertThat(newProcess.room.avoided()).isEqualTo(1);
+        assertThat(newProcess.room.online("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
     }
 
     /**
@@ -52,49 +53,51 @@
      * process, is kept as soon as the disk works again, and the outage is told once.
      */
     @Test
-    void aBanIsAcknowledgedOnceItIsKept(@TempDir Path dir) throws IOException {
-        Path blocked = Files.createDirectories(dir.resolve(SharedBans.NAME + ".new/occupied")); // every write fails
-        Scenario s = new Scenario(2);
-        SharedBans shared = new SharedBans(dir, s.room, kit(s));
-        ControlOperations operations = new ControlOperations(s.room, s.counters, shared, () -> true);
-        shared.begin();
+    void aBanIsAcknowledgedOnceItIsSaved(@TempDir Path directory) throws IOException {
+        Path blocked =
+                Files.createDirectories(directory.resolve(SharedBans.FILE_NAME + ".new/occupied")); // every write fails
+        Scenario scenario = new Scenario(2);
+        SharedBans shared = new SharedBans(directory, scenario.room, context(scenario));
+        ControlOperations operations = new ControlOperations(scenario.room, scenario.counters, shared, () -> true);
+        shared.start();
         List<String> answers = new ArrayList<>();
-        operations.change("node1", true, (said, why) -> answers.add(said + " " + why));
-        operations.change("node1", true, (said, why) -> answers.add(said + " " + why));
+        operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
+        operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         assertThat(answers).allMatch(answer -> answer.startsWith("null ") && answer.contains("node1"));
-        assertThat(s.room.avoided()).as("it holds here").isEqualTo(1);
-        s.play("wait 1000");
-        assertThat(s.counters.of("bans.file_unwritten"))
+        assertThat(scenario.room.avoided()).as("it holds here").isEqualTo(1);
+        scenario.play("wait 1000");
+        assertThat(scenario.counters.of("bans.file_unwritten"))
                 .as("an outage is counted once")
                 .isEqualTo(1);
         Files.delete(blocked);
         Files.delete(blocked.getParent());
-        s.play("wait 300");
-        assertThat(Files.readString(dir.resolve(SharedBans.NAME))).isEqualTo("node1\n");
-        operations.change("node1", true, (said, why) -> answers.add(said + " " + why));
+        scenario.play("wait 300");
+        assertThat(Files.readString(directory.resolve(SharedBans.FILE_NAME))).isEqualTo("node1\n");
+        operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         assertThat(answers).last().asString().startsWith("SAME");
-        assertThat(s.log.stream().filter(line -> line.contains("bans"))).hasSize(2);
+        assertThat(scenario.log.stream().filter(line -> line.contains("bans"))).hasSize(2);
     }
 
     /** Guards a ban that is not kept yet against the other process's file: neither undoes the other. */
     @Test
-    void whatIsNotKeptYetIsNotUndoneByTheOtherProcess(@TempDir Path dir) throws IOException {
-        Scenario s = new Scenario(2);
-        SharedBans shared = new SharedBans(dir, s.room, kit(s));
-        ControlOperations operations = new ControlOperations(s.room, s.counters, shared, () -> true);
-        shared.begin();
-        Path blocked = Files.createDirectories(dir.resolve(SharedBans.NAME + ".new/occupied"));
-        operations.change("node1", true, (said, why) -> {});
-        Files.writeString(dir.resolve(SharedBans.NAME), "node2\n");
-        s.play("wait 300");
-        assertThat(s.room.avoided()).as("both hold").isEqualTo(2);
+    void unsavedBansAreNotUndoneByTheOtherProcess(@TempDir Path directory) throws IOException {
+        Scenario scenario = new Scenario(2);
+        SharedBans shared = new SharedBans(directory, scenario.room, context(scenario));
+        ControlOperations operations = new ControlOperations(scenario.room, scenario.counters, shared, () -> true);
+        shared.start();
+        Path blocked = Files.createDirectories(directory.resolve(SharedBans.FILE_NAME + ".new/occupied"));
+        operations.changeBan("node1", true, (result, reason) -> {});
+        Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node2\n");
+        scenario.play("wait 300");
+        assertThat(scenario.room.avoided()).as("both hold").isEqualTo(2);
         Files.delete(blocked);
         Files.delete(blocked.getParent());
-        s.play("wait 300");
-        assertThat(Files.readString(dir.resolve(SharedBans.NAME))).isEqualTo("node1\nnode2\n");
+        scenario.play("wait 300");
+        assertThat(Files.readString(directory.resolve(SharedBans.FILE_NAME))).isEqualTo("node1\nnode2\n");
     }
 
-    private static plumpost.net.LoopContext kit(Scenario s) {
-        return new plumpost.net.LoopContext(null, () -> s.now, s.wheel(), s.counters, s.log::add);
+    private static plumpost.net.LoopContext context(Scenario scenario) {
+        return new plumpost.net.LoopContext(
+                null, () -> scenario.now, scenario.wheel(), scenario.counters, scenario.log::add);
     }
 }
