--- a/src/main/java/plumpost/fleet/engine/DataDirectory.java
+++ b/src/main/java/plumpost/fleet/engine/DataDirectory.java
@@ -20,14 +20,14 @@
 import plumpost.config.Json.Fields;
 
 /**
- * A scheduler's data directory: it belongs to one process at a time, one scheduler, one fleet and one range of record
- * formats, and has an identity of its own, drawn when it was made. A directory that was wiped is another one: it cannot
- * pass for the voter that it was and vote with what that one knew.
+ * A scheduler's data directory. It is locked by one process at a time, belongs to one scheduler and one fleet, and has a
+ * random id that is generated when it is created. A wiped directory therefore gets a new id and cannot vote as the member
+ * that it was before, whose votes and log it has lost.
  */
 final class DataDirectory implements Closeable {
     private static final String IDENTITY_FILE = "member.json";
     private static final String MEMBER_MARKER = "member";
-    /** How the directory is laid out; the log's records have a format of their own. */
+    /** Version of the directory's layout; the log's records have a format of their own. */
     private static final int LAYOUT_VERSION = 1;
 
     private final Path path;
@@ -35,7 +35,10 @@
     private final FileLock lock;
     private final String diskId;
 
-    /** Takes a directory over, or makes it; bad input where it is another process's, scheduler's, fleet's or format's. */
+    /**
+     * Locks a directory, and creates it if it does not exist; throws {@link BadInput} if it belongs to another process,
+     * scheduler or fleet, or has an unknown layout.
+     */
     DataDirectory(Path path, String name, String group) throws IOException {
         this.path = path;
         try {
@@ -109,19 +112,19 @@
         return diskId;
     }
 
-    /** A file's name must outlive a crash as surely as its content. */
+    /** Syncs a directory, so that the names of new files survive a crash as their contents do. */
     private static void syncDirectory(Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    /** Its identity. */
+    /** Returns the directory's id. */
     String diskId() {
         return diskId;
     }
 
-    /** Remembers that the log has named this directory: from now on the log must never be missing. */
+    /** Records that the log names this directory as a member: from now on the log must not be missing. */
     void markMember() throws IOException {
         if (!wasMember()) {
             Files.createFile(path.resolve(MEMBER_MARKER));
@@ -129,12 +132,12 @@
         }
     }
 
-    /** Whether the log has named this directory once. */
+    /** Whether the log has ever named this directory as a member. */
     boolean wasMember() {
         return Files.exists(path.resolve(MEMBER_MARKER));
     }
 
-    /** Where the engine keeps its log. */
+    /** Returns the directory of the Raft log. */
     Path logPath() {
         return path.resolve("log");
     }
--- a/src/main/java/plumpost/fleet/engine/Failpoints.java
+++ b/src/main/java/plumpost/fleet/engine/Failpoints.java
@@ -15,11 +15,10 @@
 import plumpost.peers.Host;
 
 /**
- * What the laboratory does inside a process that it has started with {@code -Dplumpost.lab=FOLDER}: faults between
- * processes come from outside, but what lies between two steps of one process, and the time that its disk takes, cannot
- * be hit from there. While the file {@code NAME.halt} in that folder names a boundary, such as {@code before Begin}, the
- * process's loop stands still when it comes there; while {@code NAME.disk} holds a number, each sync of the log takes
- * so many milliseconds longer. In service there are none.
+ * Failpoints for tests, enabled by {@code -Dplumpost.lab=FOLDER}. Faults between processes are injected from outside, but a
+ * stop between two steps of one process, or a slow disk, cannot be. While the file {@code NAME.halt} in that folder names a
+ * boundary such as {@code before Begin}, the process's event loop blocks when it reaches that boundary; while
+ * {@code NAME.disk} holds a number, each sync of the log takes that many milliseconds longer. Never enabled in production.
  */
 final class Failpoints {
     private static final long POLL_INTERVAL_MS = 20;
@@ -34,7 +33,7 @@
         this.logLine = logLine;
     }
 
-    /** Those of a scheduler whose process was started by the laboratory, or null. */
+    /** Returns the failpoints of a scheduler, or null if the system property is not set. */
     static Failpoints create(String name, Consumer<String> logLine) {
         String directory = System.getProperty("plumpost.lab");
         return directory == null ? null : new Failpoints(Path.of(directory), name, logLine);
@@ -44,7 +43,7 @@
         try {
             return Files.exists(file) ? Files.readString(file).strip() : "";
         } catch (IOException e) {
-            return ""; // taken away meanwhile
+            return ""; // deleted in the meantime
         }
     }
 
@@ -69,7 +68,7 @@
                 : entry.getClass().getSimpleName();
     }
 
-    /** A log whose entries are halted on their way in, once whoever proposes has checked all that it checks. */
+    /** Wraps a log so that it can block before an entry is proposed, after all checks of the proposer. */
     FleetLog wrapLog(FleetLog delegate) {
         return new FleetLog() {
             @Override
@@ -100,7 +99,7 @@
         };
     }
 
-    /** An ear that is halted between an entry's agreement and what is done about it here. */
+    /** Wraps a listener so that it can block after an entry is committed and before it takes effect here. */
     FleetLog.Ear wrapListener(FleetLog.Ear delegate) {
         return new FleetLog.Ear() {
             @Override
@@ -126,7 +125,7 @@
         };
     }
 
-    /** A scheduler that is halted just before and just after it takes a job over, all checks done. */
+    /** Wraps a host so that it can block just before and just after it takes over a job, after all checks. */
     Host wrapHost(Host delegate) {
         return new Host() {
             @Override
@@ -169,7 +168,7 @@
         };
     }
 
-    /** Done when the disk has synced, as slowly as it is to. */
+    /** Returns a future that completes after the additional time that a sync is to take. */
     CompletableFuture<Void> delaySync() {
         String delayMs = read(diskFile);
         CompletableFuture<Void> synced = new CompletableFuture<>();
--- a/src/main/java/plumpost/fleet/engine/FleetJson.java
+++ b/src/main/java/plumpost/fleet/engine/FleetJson.java
@@ -10,7 +10,7 @@
 import plumpost.fleet.Plans;
 import plumpost.fleet.Sessions.Session;
 
-/** What {@code fleet show --json} prints: members, duties, bans and the schedule, as the fleet has agreed on them. */
+/** Formats the output of {@code fleet show --json}: members, duties, bans and the schedule in the fleet's agreed state. */
 final class FleetJson {
     private FleetJson() {}
 
@@ -59,7 +59,7 @@
             json.writeEndObject();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a string takes everything
+            throw new IllegalStateException(e); // a StringWriter does not fail
         }
         return text.toString();
     }
--- a/src/main/java/plumpost/fleet/engine/FleetMaker.java
+++ b/src/main/java/plumpost/fleet/engine/FleetMaker.java
@@ -25,12 +25,12 @@
 import plumpost.peers.Fleet;
 import plumpost.peers.Host;
 
-/** Makes a scheduler's part in a fleet on the engine, and carries the operators' commands to one. */
+/** Creates a scheduler's fleet member on Ratis, and sends the operators' commands to a running fleet. */
 public final class FleetMaker implements Fleet.Maker {
-    /** The engine's transport logs by the JDK's own logger, and each refused connection at length. */
+    /** Ratis's gRPC transport logs through java.util.logging, and prints a stack trace for each refused connection. */
     private static final Logger TRANSPORT = Logger.getLogger("org.apache.ratis.thirdparty");
 
-    /** Found by name. */
+    /** Called by reflection; silences the transport's logger. */
     public FleetMaker() {
         TRANSPORT.setLevel(Level.OFF);
     }
--- a/src/main/java/plumpost/fleet/engine/FleetStateMachine.java
+++ b/src/main/java/plumpost/fleet/engine/FleetStateMachine.java
@@ -38,17 +38,20 @@
 import plumpost.fleet.News;
 import plumpost.fleet.Outcome;
 
-/** The engine's side of the book: applies the log to it, keeps its snapshots, and tells what was applied. */
+/** The Ratis state machine of the fleet: applies log entries to the fleet's state, keeps its snapshots and notifies a listener. */
 final class FleetStateMachine extends BaseStateMachine {
-    /** Hears of the log on the engine's threads. */
+    /** Receives the events of the log on the engine's threads. */
     interface Listener {
+        /** An entry was applied to the state, under the state machine's lock. */
         void applied(Entry entry, long term);
 
+        /** The state was replaced by a snapshot's. */
         void restored(FleetBook.Image image);
 
+        /** The log cannot be applied or written any more, for the given reason. */
         void halted(String reason);
 
-        /** Why an entry may not be proposed now, or null: asked at the leader only. */
+        /** Returns why an entry may not be proposed now, or null if it may; called at the leader only. */
         String refusalReason(Entry entry);
     }
 
@@ -60,7 +63,13 @@
     private final DataApi dataApi;
     private boolean halted;
 
-    /** A machine whose questions (reads at the leader) are answered by the given function, under its lock; trials may be null. */
+    /**
+     * Creates a state machine with an empty state.
+     *
+     * @param listener receives what is applied to the state
+     * @param queryHandler answers queries (linearizable reads), under this object's lock
+     * @param failpoints the failpoints of a test, or null in production
+     */
     FleetStateMachine(Listener listener, Function<String, String> queryHandler, Failpoints failpoints) {
         this.listener = listener;
         this.queryHandler = queryHandler;
@@ -73,18 +82,18 @@
         };
     }
 
-    /** Hears of each sync of the log, which waits for the answer too: the laboratory makes a disk slow here. */
+    /** Returns the hook that counts the syncs of the log. The log waits for it, so that a test can simulate a slow disk here. */
     @Override
     public DataApi data() {
         return dataApi;
     }
 
-    /** How often the log was synced. */
+    /** Returns the number of syncs of the log so far. */
     long syncCount() {
         return syncCount.sum();
     }
 
-    /** The book; touched only while this machine's lock is held. */
+    /** Returns the fleet's state, which may be used only while this object's lock is held. */
     FleetBook state() {
         return state;
     }
@@ -101,13 +110,13 @@
                         IOException.class);
     }
 
-    /** The index of the last entry that is in the book. */
+    /** Returns the index of the last entry that was applied to the state, or 0 if there is none. */
     long lastAppliedIndex() {
         TermIndex lastApplied = getLastAppliedTermIndex();
         return lastApplied == null ? 0 : lastApplied.getIndex();
     }
 
-    /** The engine installs a snapshot: until {@link #reinitialize} nothing is applied. */
+    /** Called before the engine installs a snapshot: nothing is applied until {@link #reinitialize}. */
     @Override
     public void pause() {
         getLifeCycle().transition(LifeCycle.State.PAUSING);
@@ -130,7 +139,7 @@
         File file = snapshot.getFile().getPath().toFile();
         MD5Hash expectedDigest = snapshot.getFile().getFileDigest();
         if (expectedDigest != null && !expectedDigest.equals(MD5FileUtil.computeMd5ForFile(file))) {
-            throw new IOException("the snapshot " + file + " is damaged: its digest is another");
+            throw new IOException("the snapshot " + file + " is damaged: its MD5 digest does not match");
         }
         try (InputStream in = new BufferedInputStream(new FileInputStream(file))) {
             state.restore(FleetCodec.snapshot(in));
@@ -183,7 +192,8 @@
                 transaction.setException(new StateMachineException(reason, null, false));
             }
         } catch (FleetCodec.Unreadable e) {
-            transaction.setException(new StateMachineException(e.getMessage(), e, false)); // before it is in the log
+            transaction.setException(
+                    new StateMachineException(e.getMessage(), e, false)); // refused before it enters the log
         }
         return transaction;
     }
@@ -195,14 +205,14 @@
         Outcome outcome;
         synchronized (this) {
             if (halted) {
-                return new CompletableFuture<>(); // the book stands still: what follows must not be applied to it
+                return new CompletableFuture<>(); // an entry was skipped: none after it may be applied
             }
             try {
-                Entry e = FleetCodec.entry(bytes);
+                Entry entry = FleetCodec.entry(bytes);
                 List<News> events = new ArrayList<>();
-                outcome = state.apply(e, logEntry.getTerm(), events);
+                outcome = state.apply(entry, logEntry.getTerm(), events);
                 updateLastAppliedTermIndex(logEntry.getTerm(), logEntry.getIndex());
-                listener.applied(e, logEntry.getTerm());
+                listener.applied(entry, logEntry.getTerm());
             } catch (FleetCodec.Unreadable e) {
                 halt(e.getMessage() + ", at " + logEntry.getTerm() + ":" + logEntry.getIndex() + " of the log");
                 return new CompletableFuture<>();
@@ -211,7 +221,10 @@
         return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(outcome))));
     }
 
-    /** The engine closes the log that it cannot write, but would go on leading: the fleet would wait for it for good. */
+    /**
+     * Halts this member when its log cannot be written. The engine closes such a log but stays leader, and the fleet would
+     * wait for it forever.
+     */
     @Override
     public void notifyLogFailed(Throwable cause, LogEntryProto entry) {
         listener.halted("its log cannot be written: " + cause);
--- a/src/main/java/plumpost/fleet/engine/Membership.java
+++ b/src/main/java/plumpost/fleet/engine/Membership.java
@@ -17,10 +17,10 @@
 import plumpost.config.PeersConfig;
 
 /**
- * How a directory becomes a member of the engine's group. The file's first voter founds it, alone, once every other voter
- * of the file was reached and is in none; whoever else has an empty directory, also a voter whose disk was wiped, asks a
- * member that is in it and joins under its directory's new identity, in place of the old one of its name. What was
- * forgotten is therefore never voted with. Called on one thread.
+ * Makes a data directory a member of the Raft group. The first voter in the configuration founds the group alone, once it
+ * has reached every other configured voter and none of them is in the group. Any other scheduler with an empty directory,
+ * also a voter whose disk was wiped, asks a member and joins under its directory's new id, which replaces the old id of its
+ * name. A member that has lost its log therefore never votes with that loss. Not thread-safe: called on one thread.
  */
 final class Membership {
     private final PeersConfig config;
@@ -45,7 +45,7 @@
         this.logLine = logLine;
     }
 
-    /** Why this directory can never be a member again, or null. */
+    /** Returns why this directory can never be a member again, or null if it can. */
     String lostReason() {
         return !hasGroup() && dataDirectory.wasMember()
                 ? "the log of " + self.getId() + " is gone from " + dataDirectory.logPath()
@@ -54,7 +54,7 @@
                 : null;
     }
 
-    /** Does what comes next on the way; whether this directory is a member. */
+    /** Takes the next step towards membership; returns whether this directory is a member. */
     boolean advance() throws IOException {
         if (isMember()) {
             dataDirectory.markMember();
@@ -87,7 +87,7 @@
         return false;
     }
 
-    /** Whether this directory holds a log of the group. */
+    /** Whether this directory contains a log of the group. */
     boolean hasGroup() {
         for (RaftGroupId candidate : server.getGroupIds()) {
             if (candidate.equals(groupId)) {
@@ -97,7 +97,7 @@
         return false;
     }
 
-    /** Whether the log's configuration, as far as it is known here, names this very directory, and no change is under way. */
+    /** Whether the latest Raft configuration known here names this directory and no configuration change is in progress. */
     private boolean isMember() throws IOException {
         if (!hasGroup()) {
             return false;
@@ -122,9 +122,9 @@
             return;
         }
         if (others.size() + (selfListed ? 1 : 0) < group.getPeers().size()) {
-            // The leader still feeds the old directory of this name, at this very address: two streams into one log
-            // spoil
-            // it. So the old one leaves first, while this process is in no group and takes nothing in.
+            // The leader still replicates to the old directory of this name at the same address, and two streams of
+            // entries would corrupt the log. So the old directory is removed first, while this process is in no group
+            // and accepts nothing.
             logLine.accept("taking the place of this name's former directory in " + config.group());
             List<RaftPeer> without = group.getPeers().stream()
                     .filter(peer -> peer.getId().equals(self.getId())
@@ -136,7 +136,8 @@
         }
         if (!hasGroup()) {
             try (RaftClient client = RatisSetup.client(RaftGroup.valueOf(groupId, self), 3)) {
-                // Without itself in it: until the log names it, it neither votes nor stands for election.
+                // The group does not contain this peer: until the log names it, it neither votes nor stands for
+                // election.
                 client.getGroupManagementApi(self.getId()).add(RaftGroup.valueOf(groupId, others));
             }
         }
@@ -148,14 +149,14 @@
         }
     }
 
-    /** Those of a configuration that vote, or those that do not. */
+    /** Returns the peers that vote, or those that do not. */
     static List<RaftPeer> filterByVote(Collection<RaftPeer> peers, boolean voters) {
         return peers.stream()
                 .filter(peer -> (peer.getStartupRole() != RaftPeerRole.LISTENER) == voters)
                 .toList();
     }
 
-    /** Changes the group's configuration from one that is known to another; fails where it has changed meanwhile. */
+    /** Changes the group's members from {@code current} to {@code next}; fails if they have changed in the meantime. */
     static void changeConfiguration(RaftGroup contacts, Collection<RaftPeer> current, Collection<RaftPeer> next)
             throws IOException {
         try (RaftClient client = RatisSetup.client(contacts, 5)) {
--- a/src/main/java/plumpost/fleet/engine/PeerNameResolver.java
+++ b/src/main/java/plumpost/fleet/engine/PeerNameResolver.java
@@ -17,14 +17,14 @@
 import plumpost.config.PeersConfig;
 
 /**
- * Resolves members by name: the log knows each as {@code peer:///NAME/ADDRESS}, and each scheduler's own file says where
- * it reaches that name; the address that the log carries serves only for members that the file does not name.
+ * Resolves members by name. The log stores each member as {@code peer:///NAME/ADDRESS}; the address in this scheduler's own
+ * configuration takes precedence, and the one in the log is used only for members that the configuration does not name.
  */
 final class PeerNameResolver extends NameResolverProvider {
     private static final Map<String, InetSocketAddress> ADDRESSES = new ConcurrentHashMap<>();
     private static boolean registered;
 
-    /** Takes the file's addresses over; they hold for this process. */
+    /** Registers the configured addresses of all members for this process. */
     static synchronized void registerAddresses(PeersConfig config) {
         config.members().forEach(m -> ADDRESSES.put(m.name(), m.address()));
         if (!registered) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** A member as the engine knows it; its id names its data directory too, so that a wiped one is another. */
+    /** Converts a member to a Raft peer. The peer's id contains the data directory's id, so that a wiped directory is another peer. */
     static RaftPeer toRaftPeer(PeersConfig.Member member, String diskId) {
         return RaftPeer.newBuilder()
                 .setId(RaftPeerId.valueOf(member.name() + "." + diskId))
@@ -43,14 +43,14 @@
                 .build();
     }
 
-    /** The scheduler's name in an engine's id. */
+    /** Returns the scheduler's name in a peer's id. */
     static String memberName(RaftPeerId id) {
         String text = id.toString();
         int dot = text.lastIndexOf('.');
         return dot < 0 ? text : text.substring(0, dot);
     }
 
-    /** The data directory's identity in an engine's id. */
+    /** Returns the data directory's id in a peer's id. */
     static String diskId(RaftPeerId id) {
         return id.toString().substring(id.toString().lastIndexOf('.') + 1);
     }
--- a/src/main/java/plumpost/fleet/engine/RaftCalls.java
+++ b/src/main/java/plumpost/fleet/engine/RaftCalls.java
@@ -16,20 +16,20 @@
 import org.apache.ratis.protocol.RaftClientReply;
 
 /**
- * Blocking calls to the fleet by a client of the engine, each on a thread of its own, so that one that hangs on a leader
- * that was stopped holds up no other. (The engine's asynchronous calls stay with a member that has gone until their tries
- * are over.) A client that failed is made anew, with the members as they are known then.
+ * Runs blocking calls to the fleet through a Ratis client, each on a thread of its own, so that a call that hangs on a
+ * stopped leader delays no other. (The client's asynchronous calls stay with a member that is gone until their retries are
+ * used up.) After a failure the client is replaced by one that knows the current members.
  */
 final class RaftCalls implements Closeable {
-    /** A client is made anew no more often than this. */
+    /** Minimum time between the creation of a client and its replacement. */
     private static final double MIN_RECREATE_INTERVAL_MS = 1_000;
 
-    /** Makes a client of the members as they are known now; an exception where there are none yet. */
+    /** Creates a client for the members that are currently known; throws if there are none yet. */
     interface ClientFactory {
         RaftClient create() throws IOException;
     }
 
-    /** What is asked. */
+    /** One blocking call by a client. */
     interface Call {
         RaftClientReply execute(RaftClient client) throws IOException;
     }
@@ -37,14 +37,14 @@
     private final ClientFactory clientFactory;
     private final long timeoutMs;
     private final ExecutorService callThreads;
-    /** Owns the client. */
+    /** The only thread that reads and replaces the client. */
     private final ScheduledExecutorService clientThread;
 
     private final Executor loop;
     private RaftClient client;
     private double clientCreatedAtMs;
 
-    /** So many at once, none of which takes longer than {@code longestMs}; what they come to is told on the loop. */
+    /** Allows {@code maxConcurrent} calls at once, each with the given timeout; results are delivered on the event loop. */
     RaftCalls(
             ClientFactory clientFactory,
             int maxConcurrent,
@@ -62,12 +62,12 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Asks; then tells the answer, or null where none came or it says that it failed. */
+    /** Runs a call, then passes on its reply, or null if there was none or it reports a failure. */
     void call(Call call, Consumer<RaftClientReply> onReply) {
         try {
             clientThread.execute(() -> run(call, onReply));
         } catch (RejectedExecutionException e) {
-            loop.execute(() -> onReply.accept(null)); // closed meanwhile
+            loop.execute(() -> onReply.accept(null)); // closed in the meantime
         }
     }
 
@@ -102,7 +102,10 @@
         }
     }
 
-    /** It is closed only once what others have asked by it is over, since a closed one leaves that unanswered for good. */
+    /**
+     * Replaces a client after a failure. It is closed only when the other calls made through it have timed out, because a
+     * closed client never completes them.
+     */
     private void discardClient(RaftClient failedClient) {
         try {
             clientThread.execute(() -> {
@@ -114,7 +117,7 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            // closed meanwhile, and the client with it
+            // closed in the meantime, and the client with it
         }
     }
 
@@ -122,11 +125,11 @@
         try {
             raftClient.close();
         } catch (IOException | RuntimeException e) {
-            // it is given up either way
+            // the client is abandoned either way
         }
     }
 
-    /** Ends; what is under way is not waited for. */
+    /** Closes the client without waiting for open calls. */
     @Override
     public void close() {
         clientThread.execute(() -> {
--- a/src/main/java/plumpost/fleet/engine/RatisLog.java
+++ b/src/main/java/plumpost/fleet/engine/RatisLog.java
@@ -31,14 +31,14 @@
 import plumpost.fleet.Outcome;
 import plumpost.fleet.Sessions;
 
-/** The replicated log on Apache Ratis: proposals, beats, and the leader's part; it becomes a member by {@link Membership}. */
+/** The replicated log on Apache Ratis: proposals, heartbeats and the leader's tasks. Uses {@link Membership} to join the group. */
 final class RatisLog implements FleetLog, FleetStateMachine.Listener {
     private static final long POLL_INTERVAL_MS = 100;
     private static final long JOIN_RETRY_MS = 300;
     private static final int MAX_CONCURRENT_HEARTBEATS = 2;
     private static final int MAX_CONCURRENT_PROPOSALS = 16;
     private static final long LEADERSHIP_TRANSFER_TIMEOUT_MS = 500;
-    /** What is not answered for so long is taken for not known. */
+    /** The outcome of a proposal that is not answered within this time is unknown. */
     private static final long PROPOSAL_TIMEOUT_MS = 8_000;
 
     private final PeersConfig config;
@@ -48,7 +48,7 @@
     private final Consumer<String> log;
     private final RaftGroupId groupId;
     private final RaftPeer self;
-    /** Becoming and staying a member may wait for others; what is proposed must not wait for that. */
+    /** Runs the membership tasks, which may block on other members; proposals must not wait for them. */
     private final ScheduledExecutorService background = singleThread("fleet");
 
     private final RaftCalls proposalCalls;
@@ -60,7 +60,7 @@
     private volatile boolean closed;
     private volatile boolean halted;
     private int openHeartbeats;
-    /** The oldest word of the leader on how far the log is applied that has not come true here, and since when. */
+    /** The oldest index reported by the leader as applied that this member has not applied yet, and since when. */
     private long leaderAppliedIndex;
 
     private double behindSinceMs;
@@ -105,11 +105,11 @@
     private static Thread daemonThread(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
-        thread.setContextClassLoader(RatisLog.class.getClassLoader()); // the engine looks its own classes up by it
+        thread.setContextClassLoader(RatisLog.class.getClassLoader()); // Ratis loads its classes through it
         return thread;
     }
 
-    /** Starts the engine in the background; what is wrong with the directory's content is told to the ear. */
+    /** Starts the server in the background; faults in the directory's contents are reported to the listener. */
     void start() {
         background.execute(() -> {
             try {
@@ -126,7 +126,7 @@
                 background.scheduleWithFixedDelay(
                         this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } catch (IOException | RuntimeException | LinkageError e) {
-                halted("the engine does not start on " + dataDirectory.logPath() + ": " + rootCause(e));
+                halted("the Raft server cannot start on " + dataDirectory.logPath() + ": " + rootCause(e));
             }
         });
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    // ---- the leader's part ----
+    // ---- tasks of the leader ----
 
     private static double nowMs() {
         return System.nanoTime() / 1e6;
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Called at intervals: the leader tells who is not heard, and takes removed members out of the engine's group. */
+    /** Called periodically: the leader proposes entries for members without heartbeats, and takes removed members out of the group. */
     private void poll() {
         try {
             if (closed || !joined) {
@@ -187,7 +187,7 @@
             }
             if (server.getLifeCycleState() != LifeCycle.State.RUNNING
                     || server.getDivision(groupId).getInfo().getLifeCycleState().isClosingOrClosed()) {
-                halted("the engine has stopped");
+                halted("the Raft server has stopped");
                 return;
             }
             if (!isLeader()) {
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Has the fleet write a newer record format once each member of the log lives and reads it. */
+    /** Proposes a newer record format once every member of the group has a live session and can read it. */
     private void raiseFormat(Collection<RaftPeer> members) {
         int newestFormat;
         synchronized (stateMachine) {
@@ -243,11 +243,11 @@
                 o -> logLine("the fleet writes record format " + newestFormat + " from now on"));
     }
 
-    /** Answers a question to the leader: called under the machine's lock. */
+    /** Answers a heartbeat or a {@code show} query; called under the state machine's lock. */
     private String answerQuery(String query) {
         String[] words = query.split(" ");
         if (words[0].equals("beat") && !isLeader()) {
-            // A follower answers reads as surely as the leader, but it is the leader that has to hear a life.
+            // A follower can answer linearizable reads too, but heartbeats must reach the leader.
             RaftPeerId leader = leaderId();
             return leader == null || leader.equals(self.getId()) ? "elsewhere" : "elsewhere " + leader;
         } else if (words[0].equals("beat")) {
@@ -276,7 +276,7 @@
         return server.getDivision(groupId).getGroup();
     }
 
-    /** The leader as this member knows it, or null. */
+    /** Returns the leader's id as this member knows it, or null. */
     private RaftPeerId leaderId() {
         try {
             return server.getDivision(groupId).getInfo().getLeaderId();
@@ -286,12 +286,12 @@
     }
 
     @Override
-    public void propose(Entry e, Consumer<Outcome> onOutcome) {
+    public void propose(Entry entry, Consumer<Outcome> onOutcome) {
         int format;
         synchronized (stateMachine) {
             format = stateMachine.state().sessions().format();
         }
-        Message message = Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)));
+        Message message = Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(entry, format)));
         proposalCalls.call(c -> c.io().send(message), reply -> {
             try {
                 onOutcome.accept(
@@ -299,8 +299,8 @@
                                 ? null
                                 : FleetCodec.outcome(
                                         reply.getMessage().getContent().toByteArray()));
-            } catch (FleetCodec.Unreadable x) {
-                log.accept("fleet: " + x.getMessage());
+            } catch (FleetCodec.Unreadable e) {
+                log.accept("fleet: " + e.getMessage());
                 onOutcome.accept(null);
             }
         });
@@ -312,7 +312,7 @@
             loop.execute(() -> onResult.accept(null));
             return;
         }
-        openHeartbeats++; // on the loop only
+        openHeartbeats++; // only accessed on the event loop
         Message message = Message.valueOf(
                 "beat " + name + " " + incarnation + " " + Math.round(deafMs) + " " + Math.round(behindMs()));
         heartbeatCalls.call(
@@ -373,7 +373,7 @@
         background.shutdown();
     }
 
-    /** A leader that ends in order lets another one lead first: nobody then waits for an election. */
+    /** Transfers leadership to another member before an orderly shutdown, so that the fleet need not wait for an election. */
     private void transferLeadership() {
         if (!isLeader()) {
             return;
@@ -390,7 +390,7 @@
                 if (alive && !peer.getId().equals(self.getId())) {
                     RaftClientReply reply =
                             client.admin().transferLeadership(peer.getId(), LEADERSHIP_TRANSFER_TIMEOUT_MS);
-                    logLine("leadership is passed on to " + PeerNameResolver.memberName(peer.getId())
+                    logLine("leadership is transferred to " + PeerNameResolver.memberName(peer.getId())
                             + (reply.isSuccess() ? "" : ", but " + reply.getException()));
                     if (reply.isSuccess()) {
                         return;
@@ -398,7 +398,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            logLine("leadership is not passed on: " + rootCause(e));
+            logLine("leadership is not transferred: " + rootCause(e));
         }
     }
 
@@ -406,11 +406,11 @@
         try {
             resource.close();
         } catch (IOException | RuntimeException e) {
-            log.accept("fleet: closing: " + rootCause(e));
+            log.accept("fleet: error on close: " + rootCause(e));
         }
     }
 
-    // ---- BookMachine.Listener, on the engine's threads ----
+    // ---- FleetStateMachine.Listener, on the engine's threads ----
 
     @Override
     public void applied(Entry entry, long term) {
@@ -423,8 +423,8 @@
     }
 
     /**
-     * Nothing is agreed on before all voters of the file are in: while the fleet grows from its founder, the loss of
-     * one of two voters would stand it still, with duties owned and jobs taken.
+     * Refuses every entry until all configured voters have joined. While the fleet grows from its founder, the loss of one
+     * of two voters would stop it, with duties owned and jobs already taken.
      */
     @Override
     public String refusalReason(Entry entry) {
@@ -450,6 +450,6 @@
     public void halted(String reason) {
         halted = true;
         loop.execute(() -> listener.halted(reason));
-        close(); // on threads of its own: who leads lets others lead
+        close(); // asynchronous; a leader stops, so that another member can take over
     }
 }
--- a/src/main/java/plumpost/fleet/engine/RatisSetup.java
+++ b/src/main/java/plumpost/fleet/engine/RatisSetup.java
@@ -19,14 +19,14 @@
 import plumpost.config.PeersConfig;
 import plumpost.fleet.FleetCodec;
 
-/** The engine's settings, derived from the file's, and calls to members that are not in a group yet. */
+/** Derives the Ratis properties from the configuration and creates Ratis clients. */
 final class RatisSetup {
-    /** Between two tries of a client. */
+    /** Pause between two attempts of a client. */
     private static final double RETRY_PAUSE_MS = 100;
 
     private RatisSetup() {}
 
-    /** The engine's id of a fleet's group: drawn from its name, so that two fleets never mix. */
+    /** Returns the Raft group id of a fleet, derived from its name so that two fleets never mix. */
     static RaftGroupId groupId(String name) {
         return RaftGroupId.valueOf(
                 UUID.nameUUIDFromBytes(("plumpost fleet " + name).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
@@ -36,7 +36,7 @@
         return TimeDuration.valueOf(Math.round(value), TimeUnit.MILLISECONDS);
     }
 
-    /** What a member's server runs with: a new leader within about half of {@code lostMs}, small buffers, a bounded log. */
+    /** Returns a member's server properties: a new leader within about half of {@code lostMs}, small buffers, a bounded log. */
     static RaftProperties serverProperties(PeersConfig config, DataDirectory dataDirectory) {
         RaftProperties properties = new RaftProperties();
         RaftServerConfigKeys.setStorageDir(
@@ -50,8 +50,8 @@
         RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(electionTimeoutMs * 2));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(properties, millis(electionTimeoutMs));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionTimeoutMs * 2));
-        // A follower answers an entry when its disk has it: sent again before that, each entry queues twice on a slow
-        // disk.
+        // A follower acknowledges an entry after its disk has synced it. With a shorter timeout the leader would send
+        // entries again, and each would be queued twice on a slow disk.
         RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(Math.max(1000, 2 * config.lostMs())));
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(electionTimeoutMs * 2));
         RaftServerConfigKeys.LeaderElection.setPreVote(properties, true);
@@ -72,14 +72,14 @@
         return properties;
     }
 
-    /** A client of a group, or of members that are not in it yet; each try has a second, and there are so many. */
+    /** Creates a client of a group, or of members outside of it, with a timeout of one second for each attempt. */
     static RaftClient client(RaftGroup group, int maxAttempts) {
         return client(group, maxAttempts, 1000);
     }
 
     /**
-     * A member's own client: a try has a quarter of {@code lostMs}, so that a leader that hangs or ends costs no lease,
-     * and there are as many as the longest call may take.
+     * Creates a member's own client. Each attempt times out after a quarter of {@code lostMs}, so that no lease is lost when
+     * the leader hangs or ends, and there are as many attempts as fit into {@code callTimeoutMs}.
      */
     static RaftClient memberClient(RaftGroup group, PeersConfig config, double callTimeoutMs) {
         double attemptTimeoutMs = Math.max(100, config.lostMs() / 4);
@@ -90,7 +90,7 @@
         RaftProperties properties = new RaftProperties();
         RaftClientConfigKeys.Rpc.setRequestTimeout(properties, millis(attemptTimeoutMs));
         RaftClientConfigKeys.Async.Experimental.setSendDummyRequest(
-                properties, false); // fails at a leader that is not ready
+                properties, false); // it fails at a leader that is not ready
         GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
         return RaftClient.newBuilder()
                 .setProperties(properties)
@@ -99,10 +99,9 @@
                 .build();
     }
 
-    /** What a member says of the group: the group with its members as that one knows them, or null: it is in none. */
+    /** Asks a member for the group and its members as it knows them; null if the member is not in the group. */
     static RaftGroup queryGroup(RaftGroupId groupId, PeersConfig.Member member) throws IOException {
-        RaftPeer peer =
-                PeerNameResolver.toRaftPeer(member, "asked"); // its directory's identity is what is to be learned
+        RaftPeer peer = PeerNameResolver.toRaftPeer(member, "asked"); // its directory's id is not known yet
         try (RaftClient client = client(RaftGroup.valueOf(groupId, peer), 1)) {
             if (!client.getGroupManagementApi(peer.getId()).list().getGroupIds().contains(groupId)) {
                 return null;
