--- a/src/main/java/plumpost/cli/FleetCommands.java
+++ b/src/main/java/plumpost/cli/FleetCommands.java
@@ -18,7 +18,7 @@
 import plumpost.log.LinesProvider;
 import plumpost.peers.Peers;
 
-/** The operators' commands to a fleet that runs: {@code show}, {@code yield DUTY} and {@code remove NAME}. */
+/** The operators' commands to a running fleet: {@code show}, {@code yield DUTY} and {@code remove NAME}. */
 final class FleetCommands {
     private static final String USAGE = "plumpost fleet show|yield DUTY|remove NAME [options]";
 
@@ -26,9 +26,9 @@
 
     static int run(String[] args, PrintStream out, PrintStream err) {
         Options options = new Options();
-        options.addOption("c", "config", true, "configuration file of any member; NODE_CONFIG where it is not given");
-        options.addOption(null, "json", false, "show: as JSON");
-        options.addOption("h", "help", false, "tells this");
+        options.addOption("c", "config", true, "configuration file of any member (default: NODE_CONFIG)");
+        options.addOption(null, "json", false, "show: print JSON");
+        options.addOption("h", "help", false, "print this help");
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             List<String> arguments = line.getArgList();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The page as a person reads it. */
+    /** Formats the JSON answer of {@code show} as text. */
     private static String text(String json) {
         Fields report = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8));
         StringBuilder text = new StringBuilder(
--- a/src/main/java/plumpost/cli/FleetHost.java
+++ b/src/main/java/plumpost/cli/FleetHost.java
@@ -15,20 +15,20 @@
 import plumpost.peers.Peers;
 import plumpost.platform.Platform;
 
-/** What the fleet asks of this scheduler, carried out by its core and its fronts. */
+/** Carries out the fleet's requests to this scheduler with its core and fronts. */
 final class FleetHost implements Host {
     private final DispatchCore core;
     private final Platform platform;
     private final GearmanFront gearman;
 
-    /** A host; {@code gearman} may be null. */
+    /** Creates a host; {@code gearman} may be null. */
     FleetHost(DispatchCore core, Platform platform, GearmanFront gearman) {
         this.core = core;
         this.platform = platform;
         this.gearman = gearman;
     }
 
-    /** Makes this scheduler's part in its fleet and joins it to the core and the fronts. */
+    /** Creates this scheduler's fleet member and connects it to the core and the fronts; throws {@link BadInput} on bad settings. */
     static Fleet joinFleet(
             NodeConfig config,
             String data,
--- a/src/main/java/plumpost/cli/Main.java
+++ b/src/main/java/plumpost/cli/Main.java
@@ -15,18 +15,18 @@
 import plumpost.config.PeersConfig;
 import plumpost.lab.LabMain;
 
-/** Command line: one word names what to do, options follow. */
+/** The command line: a command followed by its options. */
 public final class Main {
     private static final String USAGE = "plumpost serve|rehearse|check|fleet|benchlink|lab|version|help [options]";
 
     private Main() {}
 
-    /** Runs a command; bad arguments and bad configuration end with one line and 2. */
+    /** Runs a command; on bad arguments or a bad configuration prints one line and exits with status 2. */
     public static void main(String[] args) throws IOException {
         System.exit(run(args, System.out, System.err));
     }
 
-    /** The version that the build has written into the jar. */
+    /** Returns the version that the build has written into the jar. */
     static String version() {
         String version = Main.class.getPackage().getImplementationVersion();
         return version == null ? "unbuilt" : version;
@@ -40,8 +40,8 @@
             return FleetCommands.run(Arrays.copyOfRange(args, 1, args.length), out, err);
         }
         Options options = new Options();
-        options.addOption("c", "config", true, "configuration file; NODE_CONFIG where it is not given");
-        options.addOption(null, "data", true, "serve: data directory, in place of peers.data");
+        options.addOption("c", "config", true, "configuration file (default: NODE_CONFIG)");
+        options.addOption(null, "data", true, "serve: data directory, overrides peers.data");
         try {
             CommandLine line = new DefaultParser()
                     .parse(options, args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length));
@@ -61,12 +61,12 @@
                     Json.Fields file = NodeConfig.parse(Serve.configPath(line.getOptionValue("config")));
                     NodeConfig config = NodeConfig.from(file, System.getenv());
                     if (!file.ignored().isEmpty()) {
-                        throw new BadInput(file.ignored().get(0)); // it would serve all the same
+                        throw new BadInput(file.ignored().get(0)); // serve would only log it
                     }
                     if (config.peers() != null) {
                         PeersConfig.read(config.peers(), config.name(), null, config.discovery() != null);
                     }
-                    out.println("configuration of " + config.name() + " is in order");
+                    out.println("configuration of " + config.name() + " is valid");
                 }
                 case "benchlink" -> {
                     return new WireHost(System.in, out, err).run();
--- a/src/main/java/plumpost/cli/Serve.java
+++ b/src/main/java/plumpost/cli/Serve.java
@@ -36,15 +36,15 @@
 import plumpost.time.TimerWheel;
 import plumpost.time.UnixTime;
 
-/** Runs one real scheduler until SIGTERM, and ends it in order. SIGHUP has it read its configuration again. */
+/** Runs a scheduler until SIGTERM and shuts it down in order; reloads its configuration on SIGHUP. */
 final class Serve {
-    /** New connections keep coming for up to 0.4 s after SIGTERM: no end before that is over. */
+    /** New connections arrive for up to 0.4 s after SIGTERM, so that the process does not end before this time. */
     private static final double NEW_CONNECTION_GRACE_MS = 700;
-    /** A step of the wall clock is noticed within this. */
+    /** Interval between checks for steps of the wall clock. */
     private static final double WALL_CLOCK_CHECK_INTERVAL_MS = 500;
-    /** A file that is being written when SIGHUP comes is whole soon after: it is read so often, at such intervals. */
+    /** Attempts to read a file at SIGHUP, which may still be being written at the first one. */
     private static final int MAX_RELOAD_ATTEMPTS = 12;
-    /** So long the start waits for what the data directory holds. */
+    /** How long the start waits for the fleet's state from the data directory. */
     private static final double FLEET_START_TIMEOUT_MS = 5000;
 
     private static final double RELOAD_RETRY_INTERVAL_MS = 250;
@@ -61,19 +61,19 @@
     private final DispatchCore core;
     private final Platform platform;
     private final List<Front> fronts = new ArrayList<>(2);
-    /** Listeners that the platform holds and shares with the next process: let go of at SIGTERM, never closed for it. */
+    /** Listeners on sockets that the platform shares with the next process; this process stops accepting on them at SIGTERM. */
     private final List<SelectorLoop.Listener> inheritedListeners = new ArrayList<>(1);
 
     private final String inheritedFd;
     private final SharedBans sharedBans;
     private boolean serving;
     private int reloadRound;
-    /** The file as last taken: a later one that lacks any of its keys is broken. */
+    /** The last applied file; a later one that lacks any of its keys is rejected. */
     private Json.Fields lastFile;
 
     private double stopRequestedAtMs = Double.NaN;
 
-    /** Its part in a fleet, or null while the file has no peers. */
+    /** This scheduler's fleet member, or null if it is in no fleet. */
     private final Fleet fleet;
 
     Serve(Path file, String data) throws IOException {
@@ -107,7 +107,7 @@
         if (gearman != null) {
             fronts.add(gearman);
         }
-        // In a fleet the log keeps the bans, and the data directory belongs to one process.
+        // In a fleet the bans are in the replicated log, and the data directory is used by one process only.
         sharedBans = config.ops() == null || config.peers() != null
                 ? null
                 : new SharedBans(sharedDirectory(), core, context);
@@ -122,18 +122,18 @@
                 : FleetHost.joinFleet(config, data, core, platform, gearman, controlOperations, context, loop);
     }
 
-    /** Callers of the operators' listener at once: a few dozen, out of the descriptors that jobs need. */
+    /** Returns the maximum number of operators' connections: a small share of the descriptors, most of which jobs need. */
     static int maxControlConnections(int sockets) {
         return Math.max(16, Math.min(256, sockets / 16));
     }
 
-    /** The directory that the processes of one scheduler share, and that is kept over an upgrade. */
+    /** Returns the directory that the processes of one scheduler share and that an upgrade keeps. */
     private static Path sharedDirectory() {
         String directory = System.getenv("TMPDIR");
         return Path.of(directory == null || directory.isEmpty() ? System.getProperty("java.io.tmpdir") : directory);
     }
 
-    /** What the core may hold: a fifth of the heap for bodies of open jobs, a tenth for kept outcomes. */
+    /** Returns the core's limits; by default a fifth of the heap for bodies of open jobs and a tenth for kept outcomes. */
     static DispatchCore.Bounds coreBounds(long heapBytes, GearmanConfig gearman) {
         GearmanConfig.Limits limits = gearman == null ? GearmanConfig.Limits.USUAL : gearman.limits();
         return new DispatchCore.Bounds(
@@ -144,7 +144,7 @@
                 limits.packetBytes());
     }
 
-    /** The configuration's file: the one that is given, or the one in NODE_CONFIG. */
+    /** Returns the path of the configuration: the option's value, or NODE_CONFIG; throws {@link BadInput} if there is neither. */
     static Path configPath(String option) {
         String path = option == null ? System.getenv("NODE_CONFIG") : option;
         if (path == null) {
@@ -154,8 +154,8 @@
     }
 
     /**
-     * The clients' listening socket that the platform holds for all processes of this scheduler, as descriptor 0: the
-     * old process and the new one accept on it side by side, so that no client finds the address closed meanwhile.
+     * Returns the clients' listening socket that the platform passes to each process of this scheduler as descriptor 0. During
+     * an upgrade the old and the new process both accept on it, so that no client's connection is refused.
      */
     static ServerSocketChannel inheritedSocket(String descriptor) throws IOException {
         if (!descriptor.strip().equals("0")) {
@@ -175,12 +175,14 @@
 
     int run() throws IOException {
         Signals.handle(Signals.HANGUP, () -> loop.onLoop(this::onHangup));
-        Signals.handle(Signals.TERMINATE, this::onTerminate); // from here on, so that none of it is lost in the start
+        Signals.handle(
+                Signals.TERMINATE, this::onTerminate); // installed early, so that a signal during the start is not lost
         String addresses;
         try {
             addresses = openFronts();
         } catch (IOException | BadInput e) {
-            // Nothing runs yet that could end in order, and a fleet's engine has threads that would keep the process.
+            // Nothing needs an orderly shutdown yet, and the threads of the fleet's engine would keep the process
+            // alive.
             System.err.println("plumpost: " + config.name() + " cannot start: " + e.getMessage());
             System.err.flush();
             Runtime.getRuntime().halt(2);
@@ -205,17 +207,17 @@
             System.err.print(counters);
             System.err.flush();
         } finally {
-            loopEnded.countDown(); // whatever ended the loop, a hook that waits for it must not keep the process
+            loopEnded.countDown(); // also after an exception: the shutdown hook waits for it
         }
-        Runtime.getRuntime().halt(0); // with 0 in place of the signal's code, past all hooks
+        Runtime.getRuntime().halt(0); // with status 0 instead of the signal's, skipping all hooks
         return 0;
     }
 
-    /** Looks for steps of the wall clock, so that what is read after one is understood. */
+    /** Checks for steps of the wall clock, so that Unix times read after a step are converted correctly. */
     private void watchWallClock() {
         if (unixTime.observe()) {
             counters.count("time.wall_steps");
-            log("the wall clock stepped; spans run on by the monotonic clock");
+            log("the wall clock stepped; durations follow the monotonic clock");
         }
         wheel.at(clock.nowMs() + WALL_CLOCK_CHECK_INTERVAL_MS, this::watchWallClock);
     }
@@ -223,7 +225,7 @@
     private String openFronts() throws IOException {
         for (double deadlineMs = clock.nowMs() + FLEET_START_TIMEOUT_MS;
                 fleet != null && !fleet.ready() && clock.nowMs() < deadlineMs; ) {
-            loop.turn(20); // the bans that the fleet has agreed on hold before anything is served
+            loop.turn(20); // the fleet's bans must be known before any request is served
         }
         StringBuilder addresses = new StringBuilder();
         for (Front front : fronts) {
@@ -250,7 +252,7 @@
         return addresses.toString();
     }
 
-    /** Goes through the start and one request on a port that the system gives, so that the JVM can archive what it loads. */
+    /** Runs the start and one request on an ephemeral port, so that the JVM can archive the classes that it loads. */
     int rehearse() throws IOException {
         InetSocketAddress address = loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), platform::accept, 8, platform::shed)
@@ -295,8 +297,8 @@
     }
 
     /**
-     * On SIGHUP: takes over what may change while jobs are open. A file that cannot be taken is counted as turned down
-     * at once and read again for a while, in case it was being written; a later SIGHUP ends those readings.
+     * On SIGHUP: applies the settings that may change while jobs are open. A file that cannot be applied is counted as
+     * rejected at once and read again for a while, in case it was being written; a later SIGHUP ends these attempts.
      */
     private void onHangup() {
         int round = ++reloadRound;
@@ -314,12 +316,12 @@
             lastFile = newFile;
             counters.count("config.applied");
             fronts.forEach(front -> front.reload(newConfig));
-            log("SIGHUP: the file is taken, classes " + String.join(" ", core.classNames()) + ", attempts "
+            log("SIGHUP: the file is applied, classes " + String.join(" ", core.classNames()) + ", attempts "
                     + core.settings().limits().maxAttempts());
         } catch (BadInput | IllegalArgumentException e) {
             if (attemptsLeft == MAX_RELOAD_ATTEMPTS) {
                 counters.count("config.rejected");
-                log("SIGHUP: the file is turned down, the old configuration stays: " + e.getMessage());
+                log("SIGHUP: the file is rejected, the old configuration stays: " + e.getMessage());
             }
             if (attemptsLeft > 1) {
                 wheel.at(clock.nowMs() + RELOAD_RETRY_INTERVAL_MS, () -> reload(round, attemptsLeft - 1));
@@ -327,13 +329,13 @@
         }
     }
 
-    /** On SIGTERM, on a thread of the JVM's: the time counts from now, whenever the loop comes to it. */
+    /** On SIGTERM, on a JVM thread: the grace period starts now, even if the event loop reacts later. */
     private void onTerminate() {
         double signalledAtMs = clock.nowMs();
         loop.onLoop(() -> stop(signalledAtMs));
     }
 
-    /** At {@link System#exit}: lets the loop finish what it holds; the process ends from there. */
+    /** Shutdown hook for {@link System#exit}: stops the event loop in order and waits for its end. */
     private void awaitLoopEnd() {
         onTerminate();
         try {
@@ -345,12 +347,12 @@
 
     private void stop(double signalledAtMs) {
         if (!Double.isNaN(stopRequestedAtMs)) {
-            return; // told twice
+            return; // already stopping
         }
         stopRequestedAtMs = signalledAtMs;
         log("stopping, " + core.open() + " jobs open, " + Math.round(clock.nowMs() - signalledAtMs)
-                + " ms after the signal was heard");
-        // The next process accepts on the shared socket already: what comes from now on is its to take.
+                + " ms after the signal was received");
+        // The next process already accepts on the shared socket and takes all new connections.
         inheritedListeners.forEach(SelectorLoop.Listener::close);
         fronts.forEach(front -> front.stop(signalledAtMs, NEW_CONNECTION_GRACE_MS));
         if (fleet != null) {
--- a/src/main/java/plumpost/cli/Signals.java
+++ b/src/main/java/plumpost/cli/Signals.java
@@ -2,19 +2,19 @@
 
 import java.lang.reflect.Proxy;
 
-/** Hears signals for which the Java platform has no call of its own. */
+/** Installs handlers for signals, for which the Java platform has no public API. */
 final class Signals {
     private Signals() {}
 
-    /** SIGHUP: the configuration is to be read again. */
+    /** SIGHUP: reload the configuration. */
     static final String HANGUP = "HUP";
-    /** SIGTERM: the process is to end in order. */
+    /** SIGTERM: shut down in order. */
     static final String TERMINATE = "TERM";
 
     /**
-     * Has something run, on a thread of the JVM's, on each signal of a name in place of the JVM's end. For SIGTERM that is sooner
-     * than a shutdown hook, for which the JVM starts two threads, one after the other. Reached by reflection:
-     * the compiler warns of {@code sun.misc.Signal} in a way that no annotation stops, and warnings are errors here.
+     * Runs an action on a JVM thread at each signal of the given name, instead of the JVM's default action. For SIGTERM that is
+     * faster than a shutdown hook, for which the JVM starts two threads one after the other. Uses reflection because the
+     * compiler's warning on {@code sun.misc.Signal} cannot be suppressed, and warnings are errors in this build.
      */
     static void handle(String name, Runnable action) {
         try {
@@ -28,7 +28,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), handles);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIG" + name + " cannot be heard", e);
+            throw new IllegalStateException("SIG" + name + " cannot be handled", e);
         }
     }
 }
--- a/src/main/java/plumpost/config/ConfigShape.java
+++ b/src/main/java/plumpost/config/ConfigShape.java
@@ -6,14 +6,16 @@
 import java.util.Set;
 
 /**
- * Compares the shape of a configuration with that of the one before: a file read at SIGHUP that lacks a key that the
- * first file had is taken for a broken one, not for a wish to fall back on a default.
+ * Compares the keys of a configuration with those of the previous one. A file read at SIGHUP that lacks a key of the
+ * previous file is treated as broken, not as a request for the default.
  */
 public final class ConfigShape {
     private ConfigShape() {}
 
-    /** The first key, as a path such as {@code settings.ceilings.maxAttempts}, that {@code before} has and
-     *  {@code after} lacks; null where none is missing. In a list of objects, each one needs the keys that all had. */
+    /**
+     * Returns the path, such as {@code settings.ceilings.maxAttempts}, of the first key that {@code before} has and
+     * {@code after} lacks, or null if none is missing. In a list of objects, each object needs the keys that all had before.
+     */
     public static String firstMissingKey(Map<String, Object> before, Map<String, Object> after) {
         return firstMissingKey("", before, after);
     }
@@ -53,7 +55,7 @@
         return null;
     }
 
-    /** The keys that every object of a list has; null where it holds anything but objects, or nothing. */
+    /** Returns the keys that all objects of a list have; null if the list is empty or contains anything but objects. */
     private static Set<String> commonKeys(List<?> items) {
         Set<String> keys = null;
         for (Object item : items) {
--- a/src/main/java/plumpost/config/GearmanConfig.java
+++ b/src/main/java/plumpost/config/GearmanConfig.java
@@ -11,17 +11,17 @@
 import plumpost.config.Json.Fields;
 
 /**
- * The Gearman front's settings; see docs/gearman.md.
+ * The settings of the Gearman front; see docs/gearman.md.
  *
- * @param listen where clients and workers connect
+ * @param listen the address at which clients and workers connect
  * @param plant index of the plant that its workers are listed under
  * @param model index of the model that its workers are listed under
- * @param functions which function belongs to which class; the first rule that matches holds
+ * @param functions rules that map functions to classes; the first match applies
  * @param backgroundMs how long a background job may wait and run
- * @param returnMs within what time a worker that comes back under its client id is not cold again
- * @param grabHoldMs how long a worker's grab may wait for a job before it is told that there is none
- * @param allowed the admin lines that can harm and are allowed all the same
- * @param limits what the front may hold
+ * @param returnMs time within which a worker that reconnects under its client id is not cold again
+ * @param grabHoldMs how long a worker's grab may wait for a job before it is answered that there is none
+ * @param allowed the restricted admin commands that are allowed
+ * @param limits the front's resource limits
  */
 public record GearmanConfig(
         InetSocketAddress listen,
@@ -34,23 +34,23 @@
         Set<String> allowed,
         Limits limits) {
 
-    /** Functions whose names match belong to a class. */
+    /** Assigns the functions whose names match to a class, given by its index. */
     public record Rule(Pattern match, int cls) {}
 
     /**
-     * What the front may hold.
+     * The front's resource limits.
      *
-     * @param packetBytes bytes of a packet's arguments
-     * @param readingBytes bytes of all packets that are not whole yet
-     * @param connections places for connections, 0 for an eighth of {@code limits.sockets}
-     * @param functions functions known at once
-     * @param queue jobs of one function that wait, 0 for no limit of its own
-     * @param jobsPerClient open jobs that one connection has submitted
-     * @param scheduled jobs that wait for their time
-     * @param scheduledBytes bytes of their data
-     * @param openJobs open jobs of all fronts, 0 for what the heap allows
-     * @param jobBytes bytes of their data, 0 for a fifth of the heap
-     * @param keptOutcomes outcomes kept for resubmits, 0 for what the heap allows
+     * @param packetBytes maximum bytes of a packet's arguments
+     * @param readingBytes maximum bytes of all packets that are not complete yet
+     * @param connections maximum number of connections, 0 for an eighth of {@code limits.sockets}
+     * @param functions maximum number of known functions
+     * @param queue maximum number of waiting jobs of one function, 0 for no separate limit
+     * @param jobsPerClient maximum number of open jobs submitted by one connection
+     * @param scheduled maximum number of jobs scheduled for a later time
+     * @param scheduledBytes maximum bytes of the data of scheduled jobs
+     * @param openJobs maximum number of open jobs of all fronts, 0 to derive it from the heap size
+     * @param jobBytes maximum bytes of the data of open jobs, 0 for a fifth of the heap
+     * @param keptOutcomes maximum number of outcomes kept for resubmitted jobs, 0 to derive it from the heap size
      */
     public record Limits(
             int packetBytes,
@@ -64,19 +64,19 @@
             int openJobs,
             long jobBytes,
             int keptOutcomes) {
-        /** The limits where nothing is said. */
+        /** The default limits. */
         public static final Limits USUAL = new Limits(65 * 1024, 8 << 20, 0, 1024, 0, 65_536, 10_000, 8 << 20, 0, 0, 0);
     }
 
-    /** The admin lines that are off until they are allowed. */
+    /** The admin commands that are refused unless the configuration allows them. */
     public static final Set<String> HARMFUL = Set.of("shutdown", "drop", "cancel", "create");
 
-    /** A front with nothing said but its address. */
+    /** Returns the default settings for a listening address. */
     public static GearmanConfig usual(InetSocketAddress listen) {
         return new GearmanConfig(listen, 0, 0, List.of(), 3_600_000, 30_000, 0, Set.of(), Limits.USUAL);
     }
 
-    /** Reads the section {@code gearman}; null where it names no address. */
+    /** Reads the section {@code gearman}; null if it names no address. */
     static GearmanConfig read(Fields section, Fields settings) {
         section.allowOnly(
                 "listen", "plant", "model", "functions", "backgroundMs", "returnMs", "grabHoldMs", "admin", "limits");
@@ -144,7 +144,7 @@
                 values.get("keptOutcomes").intValue());
     }
 
-    /** A pattern in which {@code *} stands for any characters and {@code ?} for one. */
+    /** Compiles a glob in which {@code *} matches any characters and {@code ?} matches one. */
     private static Pattern globPattern(Fields fields, String glob) {
         if (glob.isEmpty()) {
             throw new BadInput(fields.where() + ": field match is empty");
--- a/src/main/java/plumpost/config/Json.java
+++ b/src/main/java/plumpost/config/Json.java
@@ -11,9 +11,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads JSON with the streaming parser into named fields, with the checks that every reader needs. */
+/** Reads JSON objects into named fields with type and range checks. */
 public final class Json {
-    /** No peer's bytes may nest so deep that reading them runs out of stack. */
+    /** Limits the nesting depth, so that a peer's input cannot overflow the stack. */
     static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxNestingDepth(32).build())
@@ -21,7 +21,7 @@
 
     private Json() {}
 
-    /** Reads bytes that hold one object and nothing else; {@code where} names it in messages. */
+    /** Reads bytes that contain exactly one object; {@code where} names it in messages. Throws {@link BadInput} otherwise. */
     public static Fields object(String where, byte[] bytes) {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() == null) {
@@ -39,17 +39,17 @@
         }
     }
 
-    /** A message that breaks its format; its text names the event and the field. */
+    /** Thrown for input that is malformed or has an invalid value; the message names the input and the field. */
     public static final class BadInput extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        /** A message's fault in words. */
+        /** Creates an exception with a message that describes the fault. */
         public BadInput(String message) {
             super(message);
         }
     }
 
-    /** Reads the value at the parser's present token as maps, lists, strings, numbers, booleans or null. */
+    /** Reads the value at the parser's current token as maps, lists, strings, numbers, booleans or null. */
     public static Object value(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
@@ -92,20 +92,21 @@
     }
 
     /**
-     * The named fields of one object of the wire, with the checks that every reader needs.
+     * The named fields of one JSON object, with type and range checks. All getters throw {@link BadInput} if a required field
+     * is missing.
      *
      * @param where names the object in messages
-     * @param map its fields
-     * @param ignored null where a field of another kind than its reader wants is bad input; else what was passed over as if
-     *     it were not given, in words, shared by an object and those in it
+     * @param map the field values by name
+     * @param ignored null if a field of the wrong type is an error; otherwise a list of messages about the fields that were
+     *     ignored because of their type, shared by an object and the objects nested in it
      */
     public record Fields(String where, Map<String, Object> map, List<String> ignored) {
-        /** Fields of which none may be of another kind than its reader wants. */
+        /** Creates strict fields: a value of the wrong type is an error. */
         public Fields(String where, Map<String, Object> map) {
             this(where, map, null);
         }
 
-        /** The same fields, where an optional one of another kind counts as not given. */
+        /** Returns the same fields in lenient mode: an optional field of the wrong type is treated as absent. */
         public Fields lenient() {
             return new Fields(where, map, new ArrayList<>());
         }
@@ -122,7 +123,7 @@
             return null;
         }
 
-        /** Passes a field's value over, or throws where that is not allowed. */
+        /** Records that a field's value is ignored; in strict mode throws {@link BadInput} instead. */
         void ignore(String name, Object value, String kind) {
             if (ignored == null) {
                 throw new BadInput(where + ": field " + name + " is " + value + ", not " + kind);
@@ -137,34 +138,34 @@
             return value;
         }
 
-        /** A string that must be there. */
+        /** Returns a required string. */
         public String text(String name) {
             return required(name, typed(name, String.class, "a string"));
         }
 
-        /** A string. */
+        /** Returns an optional string, or the fallback if it is absent. */
         public String text(String name, String fallback) {
             String value = typed(name, String.class, "a string");
             return value == null ? fallback : value;
         }
 
-        /** A number that must be there. */
+        /** Returns a required number. */
         public double number(String name) {
             return required(name, typed(name, Number.class, "a number")).doubleValue();
         }
 
-        /** A number. */
+        /** Returns an optional number, or the fallback if it is absent. */
         public double number(String name, double fallback) {
             Number value = typed(name, Number.class, "a number");
             return value == null ? fallback : value.doubleValue();
         }
 
-        /** A whole number that must be there. */
+        /** Returns a required number, truncated to an int. */
         public int whole(String name) {
             return (int) number(name);
         }
 
-        /** A number between two bounds. */
+        /** Returns an optional number, or the fallback; throws {@link BadInput} if it is out of range (bounds included). */
         public double numberInRange(String name, double fallback, double min, double max) {
             double value = number(name, fallback);
             if (!(value >= min && value <= max)) {
@@ -178,7 +179,7 @@
             return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
         }
 
-        /** A whole number between two bounds. */
+        /** Returns an optional integer, or the fallback; throws {@link BadInput} if it is fractional or out of range. */
         public long whole(String name, long fallback, long min, long max) {
             double value = numberInRange(name, fallback, min, max);
             if (value != Math.rint(value)) {
@@ -187,7 +188,7 @@
             return (long) value;
         }
 
-        /** Refuses fields of other names: a setting that is misspelt must not pass for one that is not given. */
+        /** Throws {@link BadInput} if there is a field of another name, so that a misspelt setting is not taken for an absent one. */
         public void allowOnly(String... names) {
             for (String name : map.keySet()) {
                 if (!List.of(names).contains(name)) {
@@ -196,35 +197,35 @@
             }
         }
 
-        /** A long whole number that must be there. */
+        /** Returns a required number, truncated to a long. */
         public long longWhole(String name) {
             return required(name, typed(name, Number.class, "a number")).longValue();
         }
 
-        /** A truth value. */
+        /** Returns an optional boolean, or the fallback if it is absent. */
         public boolean flag(String name, boolean fallback) {
             Boolean value = typed(name, Boolean.class, "true or false");
             return value == null ? fallback : value;
         }
 
-        /** Whether the field is there and not null. */
+        /** Whether the field is present and not null. */
         public boolean has(String name) {
             return map.get(name) != null;
         }
 
-        /** An object that must be there. */
+        /** Returns a required object. */
         public Fields object(String name) {
             return fields(where + "." + name, required(name, map.get(name)), ignored);
         }
 
-        /** An object, or one without fields. */
+        /** Returns an optional object, or one without fields. */
         public Fields objectOrEmpty(String name) {
             return typed(name, Map.class, "an object") == null
                     ? new Fields(where + "." + name, Map.of(), ignored)
                     : object(name);
         }
 
-        /** The objects of a list that must be there. */
+        /** Returns the objects of a required list. */
         public List<Fields> objects(String name) {
             List<Fields> objects = new ArrayList<>();
             for (Object item : list(name)) {
@@ -233,7 +234,7 @@
             return objects;
         }
 
-        /** The objects of a list, or none. */
+        /** Returns the objects of an optional list; none if it contains anything else. */
         public List<Fields> objectsOrNone(String name) {
             return listOrEmpty(name).stream().allMatch(Map.class::isInstance)
                             && has(name)
@@ -242,18 +243,18 @@
                     : List.of();
         }
 
-        /** A list that must be there. */
+        /** Returns a required list. */
         public List<?> list(String name) {
             return required(name, typed(name, List.class, "a list"));
         }
 
-        /** A list, or an empty one. */
+        /** Returns an optional list, or an empty one. */
         public List<?> listOrEmpty(String name) {
             List<?> items = typed(name, List.class, "a list");
             return items == null ? List.of() : items;
         }
 
-        /** A word that names a constant; one that names none counts as not given where that is allowed. */
+        /** Returns an optional enum constant by name, ignoring case; in lenient mode an unknown name gives the fallback. */
         public <E extends Enum<E>> E oneOf(String name, Class<E> type, E fallback) {
             String text = text(name, null);
             for (E constant : type.getEnumConstants()) {
@@ -270,7 +271,7 @@
             return fallback;
         }
 
-        /** A word that must be there and name a constant. */
+        /** Returns a required enum constant by name, ignoring case. */
         public <E extends Enum<E>> E oneOf(String name, Class<E> type) {
             String text = text(name);
             try {
@@ -281,7 +282,7 @@
         }
     }
 
-    /** The value as an object's fields. */
+    /** Converts a value to the fields of an object; throws {@link BadInput} if it is not an object. */
     public static Fields fields(String where, Object value) {
         return fields(where, value, null);
     }
--- a/src/main/java/plumpost/config/LoadReports.java
+++ b/src/main/java/plumpost/config/LoadReports.java
@@ -8,11 +8,11 @@
 import plumpost.config.Json.Fields;
 import plumpost.decision.Dispatcher.LoadReport;
 
-/** Reads a route node's load report: from named fields, or from a body that is an object or {@code name=value} pairs. */
+/** Reads a route node's load report from named fields, or from a body with a JSON object or {@code name=value} pairs. */
 public final class LoadReports {
     private LoadReports() {}
 
-    /** The report in named fields. */
+    /** Reads a report from named fields; {@code freeSlots} says whether the field x0 is a number of free slots. */
     public static LoadReport read(Fields fields, boolean freeSlots) {
         return new LoadReport(
                 fields.number("inflight", Double.NaN),
@@ -23,7 +23,7 @@
                 fields.number("x1", Double.NaN));
     }
 
-    /** The report in a body or field of an answer; null for an empty one. */
+    /** Reads a report from the body or a header field of a response; null if it is empty. */
     public static LoadReport read(ByteBuffer body, boolean freeSlots) {
         byte[] bytes = new byte[body.remaining()];
         body.duplicate().get(bytes);
@@ -34,7 +34,7 @@
         return text.isEmpty() ? null : read(new Fields("load report", pairs(text)), freeSlots);
     }
 
-    /** Numbers given as {@code name=value,name=value}. */
+    /** Parses numbers in the form {@code name=value,name=value}; throws {@link BadInput} if a value is not a number. */
     public static Map<String, Object> pairs(String text) {
         Map<String, Object> numbers = new LinkedHashMap<>();
         for (String pair : text.split("[,\\s]+")) {
--- a/src/main/java/plumpost/config/NodeConfig.java
+++ b/src/main/java/plumpost/config/NodeConfig.java
@@ -14,20 +14,20 @@
 import plumpost.time.HoldUp;
 
 /**
- * What a scheduler is told at its start.
+ * A scheduler's configuration.
  *
- * @param name its name
- * @param listen where clients connect, or null
- * @param discovery where the node list is, or null
- * @param seed for random numbers
- * @param sockets descriptors that the process may hold
- * @param settings the settings in the module's words
- * @param raw the settings as given
- * @param known the list of route nodes as last had
- * @param gearman the Gearman front, or null while it is off
- * @param logFormat text or json, or null where the file says nothing of the log
- * @param ops where the operators' calls are listened for, or null
- * @param peers the section that names the schedulers that this one may talk to, as given, or null while there are none
+ * @param name the scheduler's name
+ * @param listen the address for HTTP clients, or null
+ * @param discovery the address of discovery, or null
+ * @param seed seed for random numbers
+ * @param sockets maximum number of descriptors that the process may use
+ * @param settings the dispatcher's settings
+ * @param raw the section {@code settings} as read
+ * @param known the last known list of route nodes
+ * @param gearman the Gearman front's settings, or null if it is off
+ * @param logFormat text or json, or null if the file does not set it
+ * @param ops the address for operators' calls, or null
+ * @param peers the section on this scheduler's fleet as read, or null if it is in none
  */
 public record NodeConfig(
         String name,
@@ -43,7 +43,7 @@
         InetSocketAddress ops,
         Fields peers) {
 
-    /** A configuration without peers. */
+    /** Creates a configuration without a fleet. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -60,17 +60,17 @@
     }
 
     /**
-     * What real links add to the granularity that is told: an order's new connection and the proof that it stands take
-     * some 10 ms, and the module takes a start for prompt within four times its granularity.
+     * Added to the configured granularity for real network links: opening and verifying a new connection for an order takes
+     * about 10 ms, and the dispatcher regards a start as prompt within four times its granularity.
      */
     static final double LINK_GRANULARITY_MS = 2.5;
-    /** The fleet's section under a name that no platform's page uses. */
+    /** Name of the fleet's section that no platform's configuration uses. */
     static final String FLEET_SECTION = "plumpost_fleet";
 
     private static final SettingsReader.HostTiming REAL_HOST =
             new SettingsReader.HostTiming(LINK_GRANULARITY_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
 
-    /** Takes the file read anew: it is newer than the environment, so its discovery goes before NODE_DISCOVERY. */
+    /** Reads a reloaded file: it is newer than the environment, so its discovery address overrides NODE_DISCOVERY. */
     public static NodeConfig reread(Fields file, Map<String, String> environment) {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove("NODE_DISCOVERY");
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Takes a file read at SIGHUP, or says why not: one that is empty or cut off, lacks a key that the file taken last
-     * had, or has a deadline or attempts not over 0, is bad input as a whole, and nothing of it is taken.
+     * Reads a file reloaded at SIGHUP. Throws {@link BadInput}, so that nothing of the file is applied, if it is empty or
+     * truncated, lacks a key of the last applied file, or has a deadline or number of attempts that is not positive.
      */
     public static NodeConfig reload(Fields previous, Fields current, Map<String, String> environment) {
         String missingKey = ConfigShape.firstMissingKey(previous.map(), current.map());
@@ -87,23 +87,23 @@
             throw new BadInput("configuration: key " + missingKey + " is missing");
         }
         NodeConfig config = reread(current, environment);
-        for (String passedOver : current.ignored() == null ? List.<String>of() : current.ignored()) {
-            if (previous.ignored() == null || !previous.ignored().contains(passedOver)) {
-                throw new BadInput(
-                        passedOver); // at the start it would be better than nothing, now the old file is better
+        for (String ignored : current.ignored() == null ? List.<String>of() : current.ignored()) {
+            if (previous.ignored() == null || !previous.ignored().contains(ignored)) {
+                // At the start the field would be ignored; now the old configuration is the better choice.
+                throw new BadInput(ignored);
             }
         }
         return config;
     }
 
-    /** Reads the file and lets the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before it. */
+    /** Reads a file; the environment variables described at {@link #from} override its values. */
     public static NodeConfig read(Path file, Map<String, String> environment) {
         return from(parse(file), environment);
     }
 
     /**
-     * The file as JSON, before anything is taken from it; an empty or cut-off file is bad input. Its optional parts may be of
-     * kinds that are not known here: a platform's newer page must not keep this program from serving.
+     * Parses the file as JSON without interpreting it; throws {@link BadInput} if it is empty or truncated. Optional fields of
+     * unexpected types are ignored, so that a configuration of a newer platform does not prevent the start.
      */
     public static Fields parse(Path file) {
         try {
@@ -113,7 +113,10 @@
         }
     }
 
-    /** Takes what a file says, with the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY before it. */
+    /**
+     * Interprets a parsed file. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_OPS in the environment override its values.
+     * Throws {@link BadInput} if a required value is missing or invalid.
+     */
     public static NodeConfig from(Fields file, Map<String, String> environment) {
         Fields raw = file.object("settings");
         Dispatcher.Settings settings;
@@ -144,12 +147,12 @@
         return config;
     }
 
-    /** Whether an optional section of this program's own is given; something else under its name is passed over. */
+    /** Whether an optional section of this program is present; a value of another type under its name is ignored. */
     private static boolean isObject(Fields file, String name) {
         return !file.objectOrEmpty(name).map().isEmpty() || file.map().get(name) instanceof Map;
     }
 
-    /** A section of this program's own: what is misspelt there is bad input. */
+    /** Returns a section that only this program defines, in strict mode: a wrong type there is an error. */
     private static Fields ownSection(Fields file, String name) {
         return Json.fields(file.where() + "." + name, file.map().get(name));
     }
@@ -176,7 +179,7 @@
         return format;
     }
 
-    /** Reads a section {@code gearman} beside the settings that it names classes, plants and models of. */
+    /** Reads a section {@code gearman}, resolving its names of classes, plants and models in the given settings. */
     public static GearmanConfig gearman(Fields section, Fields settings) {
         return GearmanConfig.read(section, settings);
     }
@@ -190,7 +193,7 @@
                         environment.containsKey(variable) ? variable : "configuration: " + field, text);
     }
 
-    /** The seed's number; a text that is no hexadecimal number still differs from start to start. */
+    /** Parses the hexadecimal seed; any other text is hashed, so that different texts still give different seeds. */
     private static long seed(Fields file) {
         String text = file.text("seed", "0");
         try {
--- a/src/main/java/plumpost/config/NodeListReader.java
+++ b/src/main/java/plumpost/config/NodeListReader.java
@@ -10,11 +10,11 @@
 import plumpost.decision.Dispatcher.Phase;
 import plumpost.decision.Dispatcher.WorkerEntry;
 
-/** Reads the node list as discovery words it, and as the configuration keeps the last one. */
+/** Reads node lists in the format of discovery, which the configuration also uses for the last known list. */
 public final class NodeListReader {
     private static final String IPV4 = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])){3}";
 
-    /** The end of the year 9999: what lies later is no time that a clock has told. */
+    /** End of the year 9999 as Unix time; a later time is invalid. */
     private static final double MAX_UNIX_MS = 253_402_300_800_000.0;
 
     private final List<?> plants;
@@ -22,22 +22,22 @@
     private final StartTimes startTimes;
     private final Consumer<String> malformed;
 
-    /** Takes the Unix times at which workers started to the clock by which spans run. */
+    /** Converts the Unix times at which workers started to the event loop's clock. */
     public interface StartTimes {
-        /** Times that are taken as they come, where the clock tells Unix time itself. */
+        /** Leaves times unchanged, for a clock that shows Unix time. */
         StartTimes AS_GIVEN = (host, bornMs) -> bornMs;
 
-        /** When a worker started by the loop's clock; {@code bornMs} is over 0. */
+        /** Returns a worker's start by the loop's clock; {@code bornMs} is greater than 0. */
         double moment(String host, double bornMs);
     }
 
-    /** One line of a list: a route node, and the address at which this scheduler reaches it. */
+    /** One entry of a node list: a route node and the address at which this scheduler reaches it. */
     public record Line(WorkerEntry entry, InetSocketAddress dial) {}
 
-    /** A list or its changes, with the version. */
+    /** A complete node list or the changes to it, with its version. */
     public record Listing(long seq, boolean whole, List<Line> lines) {}
 
-    /** A reader that knows the names of plants and models; it reports each malformed line and passes it over. */
+    /** Creates a reader with the names of plants and models from the settings; malformed lines are reported and skipped. */
     public NodeListReader(Fields settings, StartTimes startTimes, Consumer<String> malformed) {
         this.startTimes = startTimes;
         this.plants = settings.listOrEmpty("dcs");
@@ -45,7 +45,7 @@
         this.malformed = malformed;
     }
 
-    /** Reads a list; {@link BadInput} where it is none. */
+    /** Reads a list; throws {@link BadInput} if it is not a node list. */
     public Listing read(Fields list) {
         List<Line> lines = new ArrayList<>();
         for (Object item : list.listOrEmpty("hosts")) {
@@ -63,7 +63,7 @@
                 switch (fields.text("health")) {
                     case "up" -> Phase.SERVING;
                     case "removed" -> Phase.DELETED;
-                    default -> Phase.DRAINING; // draining, or a word not known here: nothing new is sent
+                    default -> Phase.DRAINING; // draining, or an unknown value: no new jobs are sent
                 };
         WorkerEntry entry = new WorkerEntry(
                 fields.text("host"),
@@ -80,7 +80,7 @@
         return new Line(entry, dial == null ? null : address("dial", dial));
     }
 
-    /** When the worker started, 0 for long ago. A time that cannot be is reported, and the line holds with long ago. */
+    /** Returns when the worker started, 0 for long ago. An invalid time is reported and read as 0. */
     private double startedAt(Fields fields) {
         double bornMs = fields.number("born_ms", 0);
         if (!(bornMs >= 0 && bornMs < MAX_UNIX_MS)) {
@@ -92,10 +92,10 @@
 
     private static int indexOrZero(List<?> names, Fields fields, String field) {
         String name = fields.text(field, null);
-        return name == null ? 0 : Math.max(0, names.indexOf(name)); // an unmodifiable list refuses to look for null
+        return name == null ? 0 : Math.max(0, names.indexOf(name)); // an unmodifiable list throws on indexOf(null)
     }
 
-    /** An address given as host and port in numbers; names are not looked up. */
+    /** Parses a numeric IP address and port; host names are not resolved. Throws {@link BadInput} for anything else. */
     public static InetSocketAddress address(String source, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0
--- a/src/main/java/plumpost/config/ObjectStream.java
+++ b/src/main/java/plumpost/config/ObjectStream.java
@@ -15,8 +15,8 @@
 import plumpost.config.Json.Fields;
 
 /**
- * Reads the JSON objects that follow one another in a stream, wherever its bytes are cut and its lines are broken: an
- * object counts once its last brace has come, and what a stream leaves unfinished never counts.
+ * Incremental parser for a stream of JSON objects, which may be split into chunks and lines at any point. An object is
+ * delivered once its closing brace has arrived; an object that is incomplete at the end of the stream is never delivered.
  */
 public final class ObjectStream {
     private final String context;
@@ -27,7 +27,7 @@
     private final ArrayDeque<String> fieldNames = new ArrayDeque<>();
     private long consumedBytes;
 
-    /** A stream at its start; {@code where} names its objects in messages, none of which may be over the limit. */
+    /** Creates a parser; {@code context} names the objects in messages, and no object may be longer than {@code maxBytes}. */
     public ObjectStream(String context, int maxBytes) {
         this.context = context;
         this.maxBytes = maxBytes;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Takes bytes, and hands on each object that is whole by that, with its text. */
+    /** Parses bytes and passes on each object that they complete, with its text; throws {@link BadInput} on malformed input. */
     public void feed(byte[] bytes, BiConsumer<Fields, byte[]> onObject) {
         int copied = 0;
         try {
@@ -58,7 +58,7 @@
             throw new BadInput(context + " is not JSON");
         }
         if (!openValues.isEmpty()) {
-            objectText.write(bytes, copied, bytes.length - copied); // blanks between objects are not kept
+            objectText.write(bytes, copied, bytes.length - copied); // whitespace between objects is dropped
         }
         consumedBytes += bytes.length;
         if (objectText.size() > maxBytes) {
@@ -66,12 +66,12 @@
         }
     }
 
-    /** Whether an object has begun and is not whole yet. */
+    /** Whether an object has begun and is not complete yet. */
     public boolean midway() {
         return !openValues.isEmpty();
     }
 
-    /** Takes a token; the object that it ends, where that stands in no other. */
+    /** Processes a token; returns the top-level object that it completes, or null. */
     private Object acceptToken(JsonToken token) throws IOException {
         switch (token) {
             case FIELD_NAME -> {
--- a/src/main/java/plumpost/config/PeersConfig.java
+++ b/src/main/java/plumpost/config/PeersConfig.java
@@ -11,18 +11,18 @@
 import plumpost.config.Json.Fields;
 
 /**
- * The section {@code peers}: the schedulers that this one may talk to; see docs/fleet-duties.md.
+ * The section {@code peers}: the fleet that this scheduler belongs to; see docs/fleet-duties.md.
  *
  * @param group the fleet's name; a data directory of another fleet is refused
- * @param data the data directory, which belongs to one process
- * @param self this scheduler among the members
- * @param members all schedulers of the fleet, this one too
- * @param beatMs how often a scheduler lets the log's leader hear it
- * @param lostMs for how long nothing is heard before a life is called lost; an owner stops by itself at two thirds of it
- * @param discoveryAgeMs how old the owner's word on discovery may be before each asks itself
- * @param snapshotEvery log entries between snapshots
+ * @param data the data directory, which one process uses exclusively
+ * @param self the member that is this scheduler
+ * @param members all schedulers of the fleet, including this one
+ * @param beatMs interval between heartbeats to the log's leader
+ * @param lostMs time without a heartbeat after which a session is declared lost; an owner stops on its own after two thirds of it
+ * @param discoveryAgeMs maximum age of the owner's discovery data before each scheduler asks discovery itself
+ * @param snapshotEvery number of log entries between snapshots
  * @param asks whether this scheduler can ask discovery
- * @param covered what of work in hand the fleet's ledger covers
+ * @param covered which running jobs the fleet's ledger covers
  */
 public record PeersConfig(
         String group,
@@ -37,21 +37,21 @@
         Covered covered) {
 
     /**
-     * Work in hand that survives its scheduler.
+     * Running jobs that survive the loss of their scheduler.
      *
-     * @param classes names of the classes; none where it is off
-     * @param awaitMs how long a worker is waited for whose scheduler was lost, before its order is given up
-     * @param keepMs how long an order's outcome is kept for who comes again
+     * @param classes names of the covered classes, empty if the feature is off
+     * @param awaitMs after the loss of a scheduler, how long to wait for a worker before its order is given up
+     * @param keepMs how long an order's outcome is kept for clients that submit it again
      */
     public record Covered(Set<String> classes, double awaitMs, double keepMs) {
-        /** Nothing is covered. */
+        /** No class is covered. */
         public static final Covered NONE = new Covered(Set.of(), 10_000, 300_000);
     }
 
-    /** One scheduler: three or five of all have a vote. */
+    /** One scheduler of the fleet; one, three or five of them have a vote. */
     public record Member(String name, InetSocketAddress address, String site, boolean vote) {}
 
-    /** The names of the section's settings. */
+    /** The keys of the section. */
     static final List<String> SETTINGS = List.of(
             "group",
             "data",
@@ -64,10 +64,13 @@
             "awaitMs",
             "keepMs");
 
-    /** Members at once: what the fleet's book holds as well. */
+    /** Maximum number of members; the fleet's state has the same limit. */
     public static final int MAX_MEMBERS = 1024;
 
-    /** Reads the section for the scheduler of that name; {@code dataBefore}, where not null, goes before its {@code data}. */
+    /**
+     * Reads the section for the scheduler of the given name; {@code dataOverride}, if not null, replaces its {@code data}.
+     * Throws {@link BadInput} if a setting is invalid.
+     */
     public static PeersConfig read(Fields section, String name, String dataOverride, boolean asks) {
         section.allowOnly(SETTINGS.toArray(String[]::new));
         List<Member> members = new ArrayList<>();
@@ -136,7 +139,7 @@
                 section.numberInRange("keepMs", Covered.NONE.keepMs, 1000, 86_400_000));
     }
 
-    /** The section of a whole file, for a command to the fleet; bad input where there is none. */
+    /** Reads the section of a configuration for a command to the fleet; throws {@link BadInput} if there is none. */
     public static PeersConfig of(NodeConfig config) {
         if (config.peers() == null) {
             throw new BadInput("configuration: field peers is missing: " + config.name() + " is in no fleet");
@@ -144,7 +147,7 @@
         return read(config.peers(), config.name(), null, false);
     }
 
-    /** The members with a vote, in the file's order; the first of them founds the fleet. */
+    /** Returns the members with a vote in the configured order; the first one founds the fleet. */
     public List<Member> voters() {
         return members.stream().filter(Member::vote).toList();
     }
--- a/src/main/java/plumpost/config/SettingsReader.java
+++ b/src/main/java/plumpost/config/SettingsReader.java
@@ -5,28 +5,28 @@
 import plumpost.config.Json.Fields;
 import plumpost.decision.Dispatcher;
 
-/** Reads the settings that the simulator and the platform tell in the same form. */
+/** Reads the dispatcher's settings, which the simulator and the platform provide in the same form. */
 public final class SettingsReader {
     private SettingsReader() {}
 
-    /** The settings in the module's words, for a simulated host. */
+    /** Reads the dispatcher's settings for a simulated host. */
     public static Dispatcher.Settings settings(Fields config) {
         return settings(config, HostTiming.SIMULATED);
     }
 
     /**
-     * What a host's links and clock add to the settings.
+     * The delays that a host's network links and scheduling add to the settings.
      *
-     * @param extraGranularityMs so much coarser than is told its events come
-     * @param maxHoldUpMs so long it may be held up between a decision and what it writes; windows end that much earlier
-     * @param minTimeLeftMs with less time left to its client it begins no attempt
+     * @param extraGranularityMs added to the configured granularity of its events
+     * @param maxHoldUpMs how long the process may be paused between a decision and its write; windows end that much earlier
+     * @param minTimeLeftMs no attempt is begun when the client has less time left than this
      */
     record HostTiming(double extraGranularityMs, double maxHoldUpMs, double minTimeLeftMs) {
-        /** A host in simulated time, which does at once what it decides. */
+        /** A host in simulated time, which carries out each decision without delay. */
         static final HostTiming SIMULATED = new HostTiming(0, 0, 0);
     }
 
-    /** The settings in the module's words, for a given host. */
+    /** Reads the dispatcher's settings for a given host. */
     static Dispatcher.Settings settings(Fields config, HostTiming host) {
         Fields info = config.objectOrEmpty("familyInfo");
         Fields limits = config.objectOrEmpty("ceilings");
@@ -43,7 +43,7 @@
                     jobClass.number("aimStretch", numberAt(info, "classStretch", classIndex, 0)),
                     jobClass.number("deadlineMs"),
                     jobClass.oneOf("effect", Dispatcher.Effect.class),
-                    // A scope that is not known is the narrowest: a repeat there is harmless in any.
+                    // An unknown scope is read as the narrowest, within which a repeat is harmless whatever was meant.
                     jobClass.oneOf(
                             "keyScope",
                             Dispatcher.Scope.class,
@@ -94,7 +94,7 @@
                         fees.number("peer", 0),
                         fees.number("lateFail", 0),
                         fees.number("waste", 0)),
-                switch (report.text("via", "silent")) { // a way that is not known tells nothing
+                switch (report.text("via", "silent")) { // an unknown way counts as no reports
                     case "piggyback" -> Dispatcher.Reports.PIGGYBACK;
                     case "pull" -> Dispatcher.Reports.PULL;
                     default -> Dispatcher.Reports.SILENT;
@@ -110,7 +110,7 @@
                 Math.max(2 * granularity, host.minTimeLeftMs()));
     }
 
-    /** A repeat may be held up between its decision and its last byte; a window too short for that is halved. */
+    /** Shortens a window, since a repeat may be delayed between its decision and its last byte; a short window is at most halved. */
     private static double shortenedWindow(double configuredMs, HostTiming host) {
         return configuredMs - Math.min(host.maxHoldUpMs(), configuredMs / 2);
     }
--- a/src/main/java/plumpost/control/ControlOperations.java
+++ b/src/main/java/plumpost/control/ControlOperations.java
@@ -10,9 +10,9 @@
 import plumpost.dispatch.DispatchCore;
 import plumpost.peers.Fleet;
 
-/** What the operators' calls reach in one process: its readiness, its figures, and the bans shared with its twin. */
+/** The operators' calls in one process: readiness, metrics, and bans shared with the fleet or the scheduler's other process. */
 public final class ControlOperations implements ControlServer.Operations {
-    /** The figures' prefix. */
+    /** Prefix of the metrics' names. */
     public static final String METRIC_PREFIX = "node";
 
     private final DispatchCore core;
@@ -21,7 +21,7 @@
     private final BooleanSupplier ready;
     private Fleet fleet;
 
-    /** A console on a core; {@code shared} may be null where no other process is to be told. */
+    /** Creates the operations on a core; {@code sharedBans} is null if bans are not shared through a file. */
     public ControlOperations(DispatchCore core, Counters counters, SharedBans sharedBans, BooleanSupplier ready) {
         this.core = core;
         this.counters = counters;
@@ -29,14 +29,14 @@
         this.ready = ready;
     }
 
-    /** From now on what is taken out or called back here is so for the whole fleet. */
+    /** From now on bans set or lifted here apply to the whole fleet. */
     public void joinFleet(Fleet joined) {
         fleet = joined;
     }
 
     /**
-     * In a fleet a node goes out here at once and everywhere when that is agreed on, and comes back once that is agreed
-     * on; a yes is owed only then.
+     * In a fleet, a worker is banned here immediately and everywhere once the fleet has agreed; a ban is lifted only once the
+     * fleet has agreed. The change is acknowledged only after the agreement.
      */
     @Override
     public void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
@@ -86,7 +86,7 @@
         return changeBan(worker, false);
     }
 
-    /** The other process may have changed the bans a moment ago: its word is taken first, then this call's. */
+    /** Applies the other process's latest changes before this one, so that this one prevails. */
     private Bans.Said changeBan(String worker, boolean offline) {
         if (sharedBans != null) {
             sharedBans.refresh();
--- a/src/main/java/plumpost/control/ControlServer.java
+++ b/src/main/java/plumpost/control/ControlServer.java
@@ -18,14 +18,14 @@
 import plumpost.net.LoopContext;
 
 /**
- * The operators' listener: one HTTP/1.1 call a connection, answered in the turn in which it is whole and then closed.
- * A caller that does not finish its call in time, or that is the oldest unfinished one when all places are taken,
- * is cut: a slow or silent caller costs only itself.
+ * The listener for operators' calls: one HTTP/1.1 call per connection, answered in the event loop's turn in which it is
+ * complete. A connection is closed without an answer if its call is not complete in time, or if it is the oldest incomplete
+ * one when the maximum number of connections is reached, so that slow callers do not affect others.
  */
 public final class ControlServer implements Front {
-    /** A call's body is empty; this is room for one that carries a few words. */
+    /** Maximum size of a call's body; calls need none, but a short one is accepted. */
     static final int MAX_BODY_BYTES = 1024;
-    /** A whole call is due so long after connecting; callers are known to hold half a call for 4 s. */
+    /** Time from connecting to a complete call; some callers pause for 4 s in the middle of a call. */
     static final double CALL_TIMEOUT_MS = 10_000;
 
     static final double SWEEP_INTERVAL_MS = 250;
@@ -36,33 +36,33 @@
     private final int maxConnections;
     private final LoopContext context;
     private final Operations operations;
-    /** Unfinished calls, oldest first. */
+    /** Calls that are not answered yet, oldest first. */
     private final Set<CallHandler> openCalls = new LinkedHashSet<>();
 
-    /** What the operators' calls reach. */
+    /** The operations that operators can call. */
     public interface Operations {
-        /** Whether this process can serve. */
+        /** Whether this process can serve requests. */
         boolean ready();
 
-        /** The figures, a statsd line each. */
+        /** Returns the metrics, one statsd line each. */
         String statsdLines();
 
-        /** Takes a node out by hand. */
+        /** Bans a worker: it gets no new jobs. */
         Bans.Said takeOffline(String worker);
 
-        /** Calls a node back. */
+        /** Lifts a worker's ban. */
         Bans.Said bringOnline(String worker);
 
         /**
-         * Takes a node out by hand or calls it back, and tells what came of it, at once or within a second: null and why
-         * where it does not hold everywhere that it should.
+         * Bans a worker or lifts its ban, and reports the result immediately or within a second. The result is null, with a
+         * reason, if the change does not hold in every process that it should reach.
          */
         default void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
             onResult.accept(offline ? takeOffline(worker) : bringOnline(worker), "");
         }
     }
 
-    /** A listener at an address with room for so many callers at once. */
+    /** Creates a listener with a maximum number of simultaneous connections. */
     public ControlServer(InetSocketAddress address, int maxConnections, LoopContext context, Operations operations) {
         this.address = address;
         this.maxConnections = maxConnections;
@@ -77,14 +77,14 @@
                 + listeners.listen(address, this::accept, maxConnections, false, MAX_UNREAD_BYTES, this::shed);
     }
 
-    /** Takes a caller's connection in. */
+    /** Handles a new connection. */
     public ConnectionHandler accept(Connection connection) {
         CallHandler call = new CallHandler(connection, context.clock().nowMs());
         openCalls.add(call);
         return call;
     }
 
-    /** Ends the oldest unfinished call, so that a newcomer finds a place; false where there is none. */
+    /** Closes the connection of the oldest unfinished call to make room for a new one; returns false if there is none. */
     public boolean shed() {
         for (CallHandler call : openCalls) {
             context.counters().count("control.shed");
@@ -96,10 +96,10 @@
 
     @Override
     public void stop(double signalledAtMs, double newConnectionGraceMs) {
-        // Calls are still answered while the process drains; ready says no from now on.
+        // Calls are still answered while the process drains; /control/ready answers 503 from now on.
     }
 
-    /** Nobody waits here for anything that the end of the process would take away. */
+    /** Always true: no call here needs to delay the end of the process. */
     @Override
     public boolean quiet() {
         return true;
@@ -109,7 +109,7 @@
         double nowMs = context.clock().nowMs();
         for (CallHandler call : List.copyOf(openCalls)) {
             if (nowMs - call.openedAtMs <= CALL_TIMEOUT_MS) {
-                break; // the set is in the order of arrival
+                break; // the calls are in order of arrival
             }
             context.counters().count("control.slow");
             call.cut();
@@ -117,7 +117,7 @@
         context.wheel().at(nowMs + SWEEP_INTERVAL_MS, this::sweep);
     }
 
-    /** One caller's connection: bytes in, one answer out. */
+    /** Reads one call from a connection and answers it. */
     private final class CallHandler implements ConnectionHandler {
         private final Connection connection;
         private final double openedAtMs;
@@ -132,7 +132,7 @@
         @Override
         public void bytes(ByteBuffer input) {
             if (finished) {
-                return; // one call a connection: what follows the call is not read
+                return; // one call per connection: anything after it is ignored
             }
             try {
                 if (reader.feed(input)) {
--- a/src/main/java/plumpost/control/Outage.java
+++ b/src/main/java/plumpost/control/Outage.java
@@ -2,21 +2,21 @@
 
 import plumpost.net.LoopContext;
 
-/** Something that fails again and again: counted and logged when it begins and logged when it ends, not at each try. */
+/** Tracks an operation that fails repeatedly: counts and logs the first failure and logs the recovery, not every attempt. */
 final class Outage {
     private final String counter;
     private final String description;
     private final LoopContext context;
     private double sinceMs = Double.NaN;
 
-    /** An outage that is counted by a name and logged in words. */
+    /** Creates a tracker with a counter's name and a description for the log. */
     Outage(String counter, String description, LoopContext context) {
         this.counter = counter;
         this.description = description;
         this.context = context;
     }
 
-    /** A try has failed. */
+    /** Reports a failed attempt. */
     void failed(String reason) {
         if (Double.isNaN(sinceMs)) {
             sinceMs = context.clock().nowMs();
@@ -25,7 +25,7 @@
         }
     }
 
-    /** A try has not failed. */
+    /** Reports a successful attempt. */
     void recovered() {
         if (!Double.isNaN(sinceMs)) {
             context.log()
--- a/src/main/java/plumpost/control/SharedBans.java
+++ b/src/main/java/plumpost/control/SharedBans.java
@@ -12,17 +12,17 @@
 import plumpost.net.LoopContext;
 
 /**
- * Hands the operators' bans over between the processes of one scheduler, through a file in the directory that they
- * share. Each process writes the whole set at each change, by a rename so that nobody reads half of it, and looks at
- * the file often enough that a ban told to the other process holds here within the grace.
+ * Shares the operators' bans between the processes of one scheduler through a file in their common directory. Each process
+ * writes the complete set at each change, by an atomic rename so that no reader sees a partial file, and polls the file often
+ * enough that a ban set in the other process takes effect here within the allowed delay.
  *
- * <p>Writes may fail for a while. Changes that are not in the file yet hold here, are not undone by what the other process
- * writes meanwhile, and are written as soon as the directory takes them.
+ * <p>Writes may fail temporarily. Changes that are not in the file yet apply in this process, are not undone by what the other
+ * process writes in the meantime, and are written as soon as the directory is writable again.
  */
 public final class SharedBans {
-    /** How often the file is looked at: well within the 400 ms in which a node must get nothing new. */
+    /** Interval at which the file is read: well within the 400 ms after which a banned worker must get no new jobs. */
     static final double POLL_INTERVAL_MS = 100;
-    /** More than any set of bans can fill: what is longer was not written by a scheduler. */
+    /** No set of bans is this large, so that a longer file was not written by a scheduler. */
     static final long MAX_FILE_BYTES = 1 << 20;
 
     static final String FILE_NAME = "plumpost-bans";
@@ -32,12 +32,12 @@
     private final LoopContext context;
     private final Outage writeOutage;
     private final Outage readOutage;
-    /** Changes that the file does not hold yet: whether each worker was taken out or called back. */
+    /** Changes that are not in the file yet: worker to true if it was banned, false if its ban was lifted. */
     private final Map<String, Boolean> unwritten = new LinkedHashMap<>();
 
     private String lastText = "";
 
-    /** Bans kept in a file of the shared directory. */
+    /** Creates the bans that are stored in a file of the shared directory. */
     public SharedBans(Path directory, DispatchCore core, LoopContext context) {
         this.file = directory.resolve(FILE_NAME);
         this.core = core;
@@ -46,7 +46,7 @@
         this.readOutage = new Outage("bans.file_unread", "bans of the other process cannot be read", context);
     }
 
-    /** Takes over what an earlier process left, and from now on looks at the file at intervals. */
+    /** Applies the bans that an earlier process left, and starts polling the file. */
     public void start() {
         refresh();
         context.wheel().at(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Takes over the file's bans where another process has changed them since this one last read or wrote it. */
+    /** Applies the file's bans if another process has changed them since this one last read or wrote the file. */
     public void refresh() {
         String text;
         try {
@@ -84,17 +84,17 @@
                 context.log()
                         .accept("bans handed over: " + text.replace('\n', ' ').strip());
             }
-            unwritten.forEach(core::banned); // the other process did not know of these
+            unwritten.forEach(core::banned); // the other process does not know these yet
         }
     }
 
-    /** A worker was taken out here or called back: writes that for the other process, now or as soon as that works. */
+    /** Records a change made in this process and writes it to the file, now or as soon as a write succeeds. */
     public void record(String worker, boolean offline) {
         unwritten.put(worker, offline);
         write();
     }
 
-    /** Whether the file holds all that was changed here; only then is a change acknowledged. */
+    /** Whether the file contains all changes made here; only then may a change be acknowledged. */
     public boolean isSaved() {
         return unwritten.isEmpty();
     }
--- a/src/main/java/plumpost/front/Front.java
+++ b/src/main/java/plumpost/front/Front.java
@@ -3,25 +3,25 @@
 import java.io.IOException;
 import plumpost.config.NodeConfig;
 
-/** One protocol's side of a scheduler over its life: open, serve, stop, quiet. The core knows nothing of it. */
+/** The server side of one client protocol, and its life cycle in a scheduler. The core does not depend on it. */
 public interface Front {
-    /** Opens its listeners and tells the core its node lists; returns where it listens, for the log. */
+    /** Opens the listeners and passes node lists to the core; returns the addresses for the log. */
     String open(Listeners listeners) throws IOException;
 
-    /** All is warm: from here on it may say that it is ready. */
+    /** Called after the warm-up: from now on the front may report that it is ready. */
     default void ready() {}
 
-    /** Takes over what may change while jobs are open. */
+    /** Applies the settings that may change while jobs are open. */
     default void reload(NodeConfig config) {}
 
     /**
-     * The scheduler stops: at once what is announced, and nothing new once newcomers may be turned away.
+     * Begins the shutdown: announces it at once, and refuses new requests after the grace period for new connections.
      *
-     * @param signalledAtMs when the process heard of SIGTERM, by the loop's clock; that may be some time ago
-     * @param newConnectionGraceMs so long after that clients may still come that do not know of the end
+     * @param signalledAtMs when the process received SIGTERM, by the loop's clock, possibly some time ago
+     * @param newConnectionGraceMs how long after that clients may still connect because they do not know of the shutdown
      */
     void stop(double signalledAtMs, double newConnectionGraceMs);
 
-    /** True when nobody waits for anything on it. */
+    /** Whether no client is waiting for this front. */
     boolean quiet();
 }
--- a/src/main/java/plumpost/front/Listeners.java
+++ b/src/main/java/plumpost/front/Listeners.java
@@ -7,14 +7,18 @@
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 
-/** Where fronts open their listeners. */
+/** Opens listeners for fronts. */
 public interface Listeners {
     /**
-     * Listens; at most so many connections are open at once.
+     * Opens a listener and returns the address that it is bound to.
      *
-     * @param batched what is written goes out once a turn: fewer calls, a little later
-     * @param unreadBytes what a peer may leave unread before its connection is cut
-     * @param shedConnection ends the connection that matters least, and says whether there was one
+     * @param address the address to listen at
+     * @param handlerFactory creates the handler of each accepted connection
+     * @param maxConnections maximum number of open connections
+     * @param batched whether output is written once per turn of the event loop: fewer system calls, slightly later
+     * @param unreadBytes how many written bytes a peer may leave unread before its connection is closed
+     * @param shedConnection closes the least important connection; returns false if there is none
+     * @throws IOException if the address cannot be bound
      */
     InetSocketAddress listen(
             InetSocketAddress address,
