--- a/src/main/java/plumpost/cli/Serve.java
+++ b/src/main/java/plumpost/cli/Serve.java
@@ -175,14 +175,13 @@
 
     int run() throws IOException {
         Signals.handle(Signals.HANGUP, () -> loop.onLoop(this::onHangup));
-        Signals.handle(
-                Signals.TERMINATE, this::onTerminate); // installed early, so that a signal during the start is not lost
+        // Installed before the start, so that a signal during the start is not lost.
+        Signals.handle(Signals.TERMINATE, this::onTerminate);
         String addresses;
         try {
             addresses = openFronts();
         } catch (IOException | BadInput e) {
-            // Nothing needs an orderly shutdown yet, and the threads of the fleet's engine would keep the process
-            // alive.
+            // Nothing needs an orderly shutdown yet, and the fleet engine's threads would keep the process alive.
             System.err.println("plumpost: " + config.name() + " cannot start: " + e.getMessage());
             System.err.flush();
             Runtime.getRuntime().halt(2);
--- a/src/main/java/plumpost/config/NodeConfig.java
+++ b/src/main/java/plumpost/config/NodeConfig.java
@@ -158,8 +158,8 @@
     }
 
     /**
-     * The section on this program's fleet, or null. Its own name is {@value #FLEET_SECTION}. Under {@code peers} stands either that
-     * section or what the platform tells of other schedulers (addresses, in whatever form), which is not used here.
+     * Returns the section on this scheduler's fleet, or null. Its own name is {@value #FLEET_SECTION}. The key {@code peers}
+     * contains either that section or the platform's addresses of other schedulers, in any form, which are not used here.
      */
     private static Fields fleetSection(Fields file) {
         if (file.has(FLEET_SECTION)) {
--- a/src/main/java/plumpost/fleet/engine/Failpoints.java
+++ b/src/main/java/plumpost/fleet/engine/Failpoints.java
@@ -43,7 +43,7 @@
         try {
             return Files.exists(file) ? Files.readString(file).strip() : "";
         } catch (IOException e) {
-            return ""; // deleted in the meantime
+            return ""; // the file was deleted in the meantime
         }
     }
 
@@ -78,8 +78,8 @@
             }
 
             @Override
-            public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> onResult) {
-                delegate.beat(name, incarnation, deafMs, onResult);
+            public void beat(String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
+                delegate.beat(name, incarnation, msWithoutLeader, onResult);
             }
 
             @Override
--- a/src/main/java/plumpost/fleet/engine/FleetMaker.java
+++ b/src/main/java/plumpost/fleet/engine/FleetMaker.java
@@ -103,22 +103,22 @@
         if (command.equals("show")) {
             return json;
         }
-        Entry e;
+        Entry entry;
         if (command.equals("yield")) {
             List<?> duties =
                     Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).list("duties");
             Map<?, ?> duty = duties.stream()
-                    .map(entry -> (Map<?, ?>) entry)
-                    .filter(entry -> argument.equals(entry.get("name")))
+                    .map(item -> (Map<?, ?>) item)
+                    .filter(candidate -> argument.equals(candidate.get("name")))
                     .findFirst()
                     .orElseThrow(() -> new BadInput("fleet yield: no duty " + argument));
-            e = new Entry.Yield(argument, ((Number) duty.get("fence")).longValue());
+            entry = new Entry.Yield(argument, ((Number) duty.get("fence")).longValue());
         } else {
-            e = new Entry.Remove(argument);
+            entry = new Entry.Remove(argument);
         }
         int format = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).whole("format");
-        ByteString reply =
-                successfulContent(client.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(e, format)))));
+        ByteString reply = successfulContent(
+                client.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(entry, format)))));
         Outcome outcome = FleetCodec.outcome(reply.toByteArray());
         if (!outcome.done()) {
             throw new BadInput("fleet " + command + ": " + outcome.words());
--- a/src/main/java/plumpost/fleet/engine/RaftCalls.java
+++ b/src/main/java/plumpost/fleet/engine/RaftCalls.java
@@ -72,14 +72,14 @@
     }
 
     private void run(Call call, Consumer<RaftClientReply> onReply) {
-        RaftClient c = client;
+        RaftClient current = client;
         try {
-            if (c == null) {
-                c = clientFactory.create();
-                client = c;
+            if (current == null) {
+                current = clientFactory.create();
+                client = current;
                 clientCreatedAtMs = nowMs();
             }
-            RaftClient usedClient = c;
+            RaftClient usedClient = current;
             CompletableFuture.supplyAsync(
                             () -> {
                                 try {
@@ -97,7 +97,7 @@
                         loop.execute(() -> onReply.accept(failure != null || !reply.isSuccess() ? null : reply));
                     });
         } catch (IOException | RuntimeException e) {
-            discardClient(c);
+            discardClient(current);
             loop.execute(() -> onReply.accept(null));
         }
     }
--- a/src/main/java/plumpost/fleet/engine/RatisLog.java
+++ b/src/main/java/plumpost/fleet/engine/RatisLog.java
@@ -60,10 +60,11 @@
     private volatile boolean closed;
     private volatile boolean halted;
     private int openHeartbeats;
-    /** The oldest index reported by the leader as applied that this member has not applied yet, and since when. */
+    /** The oldest index reported by the leader as applied that this member has not applied yet. */
     private long leaderAppliedIndex;
-
+    /** When the leader reported {@link #leaderAppliedIndex}. */
     private double behindSinceMs;
+
     private boolean joined;
     private String lastLogged = "";
 
@@ -203,9 +204,9 @@
                         stateMachine.state().sessions().all(),
                         server.getDivision(groupId).getInfo().getCurrentTerm(),
                         nowMs());
-                for (Sessions.Session s : stateMachine.state().sessions().all()) {
-                    if (s.state() == Sessions.State.REMOVED) {
-                        removed.add(s.name() + "." + s.disk());
+                for (Sessions.Session session : stateMachine.state().sessions().all()) {
+                    if (session.state() == Sessions.State.REMOVED) {
+                        removed.add(session.name() + "." + session.disk());
                     }
                 }
             }
@@ -252,6 +253,9 @@
             return leader == null || leader.equals(self.getId()) ? "elsewhere" : "elsewhere " + leader;
         } else if (words[0].equals("beat")) {
             long incarnation = Long.parseLong(words[2]);
+            // A member that has not reached a leader for this long has already stopped its duties, so that its
+            // heartbeat
+            // must not keep them from others.
             if (Long.parseLong(words[3]) < config.lostMs() * 2 / 3) {
                 heartbeats.beat(words[1], incarnation, nowMs(), Double.parseDouble(words[4]));
             }
@@ -307,22 +311,23 @@
     }
 
     @Override
-    public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> onResult) {
+    public void beat(String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
         if (openHeartbeats >= MAX_CONCURRENT_HEARTBEATS) {
             loop.execute(() -> onResult.accept(null));
             return;
         }
         openHeartbeats++; // only accessed on the event loop
         Message message = Message.valueOf(
-                "beat " + name + " " + incarnation + " " + Math.round(deafMs) + " " + Math.round(behindMs()));
+                "beat " + name + " " + incarnation + " " + Math.round(msWithoutLeader) + " " + Math.round(behindMs()));
         heartbeatCalls.call(
-                c -> {
+                raftClient -> {
                     RaftPeerId leader = leaderId();
-                    RaftClientReply reply =
-                            leader == null ? c.io().sendReadOnly(message) : c.io().sendReadOnly(message, leader);
+                    RaftClientReply reply = leader == null
+                            ? raftClient.io().sendReadOnly(message)
+                            : raftClient.io().sendReadOnly(message, leader);
                     String[] words = replyWords(reply);
                     return words[0].equals("elsewhere") && words.length > 1
-                            ? c.io().sendReadOnly(message, RaftPeerId.valueOf(words[1]))
+                            ? raftClient.io().sendReadOnly(message, RaftPeerId.valueOf(words[1]))
                             : reply;
                 },
                 reply -> {
--- a/src/test/java/plumpost/cli/FullDescriptorsIT.java
+++ b/src/test/java/plumpost/cli/FullDescriptorsIT.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import plumpost.Scenario;
 
-/** A process whose system lets it open no more descriptors than its settings say, while idle clients take all they get. */
+/** Tests a process at its descriptor limit, while idle clients open as many connections as they can. */
 class FullDescriptorsIT {
     private static final int DESCRIPTORS = 256;
     private static final int IDLE_CLIENTS = 400;
@@ -28,7 +28,7 @@
     @TempDir
     private Path folder;
 
-    /** A listener of the test's own; each connection gets a thread. */
+    /** A stub server with a thread for each connection. */
     private static final class StubServer implements Closeable {
         private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
@@ -36,12 +36,12 @@
             void respond(Socket client) throws IOException;
         }
 
-        StubServer(Responder answer) throws IOException {
+        StubServer(Responder responder) throws IOException {
             Thread acceptor = new Thread(() -> {
                 while (!socket.isClosed()) {
                     try {
                         Socket client = socket.accept();
-                        Thread handler = new Thread(() -> serve(answer, client));
+                        Thread handler = new Thread(() -> serve(responder, client));
                         handler.setDaemon(true);
                         handler.start();
                     } catch (IOException e) {
@@ -53,11 +53,11 @@
             acceptor.start();
         }
 
-        private static void serve(Responder answer, Socket client) {
+        private static void serve(Responder responder, Socket client) {
             try {
-                answer.respond(client);
+                responder.respond(client);
             } catch (IOException e) {
-                // The scheduler has closed its end, which it may at any time.
+                // The scheduler may close its end at any time.
                 return;
             }
         }
@@ -68,14 +68,14 @@
         }
     }
 
-    private static String readOnce(Socket from) throws IOException {
+    private static String readOnce(Socket socket) throws IOException {
         byte[] bytes = new byte[4096];
-        int n = from.getInputStream().read(bytes);
-        return n < 0 ? "" : new String(bytes, 0, n, StandardCharsets.US_ASCII);
+        int length = socket.getInputStream().read(bytes);
+        return length < 0 ? "" : new String(bytes, 0, length, StandardCharsets.US_ASCII);
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String ask(int port, String request) throws IOException {
@@ -90,7 +90,7 @@
         return Integer.parseInt(ready.replaceAll(".* " + front + " /127.0.0.1:([0-9]+).*", "$1"));
     }
 
-    /** Guards descriptors: the call for the list, an attempt and an operator's call get theirs, whoever idles. */
+    /** Idle clients leave enough descriptors for the request to discovery, an attempt and an operator's call. */
     @Test
     @Timeout(90)
     void idleClientsLeaveDescriptorsForEverythingElse() throws Exception {
@@ -98,31 +98,31 @@
         CountDownLatch full = new CountDownLatch(1);
         CountDownLatch discoveryUp = new CountDownLatch(1);
         CountDownLatch listSent = new CountDownLatch(1);
-        StubServer node = new StubServer(caller -> {
-            readOnce(caller);
+        StubServer node = new StubServer(connection -> {
+            readOnce(connection);
             write(
-                    caller,
+                    connection,
                     "HTTP/1.1 200 OK\r\nContent-Length: 46\r\n\r\n{\"id\":\"job\",\"state\":\"done\",\"result\":\"washed\"}\n");
-            readOnce(caller);
+            readOnce(connection);
         });
         String host = "{\"host\":\"n1\",\"dial\":\"127.0.0.1:" + node.socket.getLocalPort()
                 + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
-        StubServer discovery = new StubServer(caller -> {
-            readOnce(caller);
+        StubServer discovery = new StubServer(connection -> {
+            readOnce(connection);
             if (full.getCount() == 0) {
                 calledWhileFull.countDown();
             }
             if (discoveryUp.getCount() > 0) {
-                caller.close(); // down
+                connection.close(); // discovery is down
                 return;
             }
             String list = "{\"seq\":2,\"whole\":true,\"hosts\":[" + host + "]}\n";
             write(
-                    caller,
+                    connection,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
                             + "\r\n" + list + "\r\n");
             listSent.countDown();
-            readOnce(caller);
+            readOnce(connection);
         });
         Path file = Files.writeString(
                 folder.resolve("c.json"),
--- a/src/test/java/plumpost/cli/HangingWorkers.java
+++ b/src/test/java/plumpost/cli/HangingWorkers.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Workers that take each request, say that it has started, and never end it; their probes are answered. */
+/** Workers that accept each request, report its start and never complete it; they answer probes. */
 final class HangingWorkers implements Closeable {
     private static final Pattern ID = Pattern.compile("X-Txn: ([!-~]+)\r\n");
     private static final int BACKLOG = 512;
@@ -43,7 +43,7 @@
                 Socket client = socket.accept();
                 startDaemon(() -> serve(client));
             } catch (IOException e) {
-                return; // closed
+                return; // the listener is closed
             }
         }
     }
@@ -52,10 +52,10 @@
         try (client) {
             StringBuilder text = new StringBuilder();
             byte[] bytes = new byte[4096];
-            for (int n = client.getInputStream().read(bytes);
-                    n > 0;
-                    n = client.getInputStream().read(bytes)) {
-                text.append(new String(bytes, 0, n, StandardCharsets.US_ASCII));
+            for (int length = client.getInputStream().read(bytes);
+                    length > 0;
+                    length = client.getInputStream().read(bytes)) {
+                text.append(new String(bytes, 0, length, StandardCharsets.US_ASCII));
                 if (text.toString().startsWith("GET ") && text.toString().endsWith("\r\n\r\n")) {
                     write(client, "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\ninflight=0,queue=0,x0=4");
                     text.setLength(0);
@@ -65,7 +65,7 @@
                 }
             }
         } catch (IOException e) {
-            // The scheduler gives attempts up by closing, or is killed: that is what is tested.
+            // Expected: the scheduler closes the connections of abandoned attempts, or is killed.
             return;
         }
     }
@@ -82,11 +82,11 @@
         }
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Their lines of a node list. */
+    /** Returns the workers' entries of a node list. */
     String lines() {
         return IntStream.range(0, listeners.size())
                 .mapToObj(i -> "{\"host\":\"w" + i + "\",\"dial\":\"127.0.0.1:"
--- a/src/test/java/plumpost/cli/RestingClient.java
+++ b/src/test/java/plumpost/cli/IdleClient.java
@@ -6,8 +6,8 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** A client whose connection rests after an answered call, and that sends one request on it later. */
-final class RestingClient {
+/** A client whose connection is idle after an answered call, and that sends one request on it later. */
+final class IdleClient {
     private static final String LIVE = "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n";
     private static final String ANSWER = "HTTP/1.1 ";
     private static final int FIRST_PIECE_BYTES = 40;
@@ -16,13 +16,13 @@
     private final String id;
     private final boolean inPieces;
     private final Socket socket = new Socket();
-    private final Thread reader = new Thread(this::read, "resting client");
+    private final Thread reader = new Thread(this::read, "idle client");
     private volatile boolean answered;
-    private volatile boolean reset;
+    private volatile boolean wasReset;
     private volatile long sentAtNs;
 
-    /** Connects, has one call answered and rests. */
-    RestingClient(InetSocketAddress scheduler, String id, boolean inPieces) throws IOException {
+    /** Connects, waits for the answer to one call and leaves the connection idle. */
+    IdleClient(InetSocketAddress scheduler, String id, boolean inPieces) throws IOException {
         this.id = id;
         this.inPieces = inPieces;
         socket.setTcpNoDelay(true);
@@ -30,8 +30,8 @@
         socket.connect(new InetSocketAddress(scheduler.getAddress(), scheduler.getPort()));
         socket.getOutputStream().write(LIVE.getBytes(StandardCharsets.US_ASCII));
         byte[] answer = new byte[1024];
-        int n = socket.getInputStream().read(answer);
-        if (n <= 0 || !new String(answer, 0, n, StandardCharsets.US_ASCII).startsWith(ANSWER + "200")) {
+        int length = socket.getInputStream().read(answer);
+        if (length <= 0 || !new String(answer, 0, length, StandardCharsets.US_ASCII).startsWith(ANSWER + "200")) {
             throw new IOException("no answer to the first call");
         }
         reader.setDaemon(true);
@@ -41,10 +41,10 @@
     private void read() {
         byte[] bytes = new byte[4096];
         try {
-            int n = socket.getInputStream().read(bytes);
-            answered = n > 0 && new String(bytes, 0, n, StandardCharsets.US_ASCII).startsWith(ANSWER);
+            int length = socket.getInputStream().read(bytes);
+            answered = length > 0 && new String(bytes, 0, length, StandardCharsets.US_ASCII).startsWith(ANSWER);
         } catch (SocketException e) {
-            reset = true;
+            wasReset = true;
         } catch (IOException e) {
             throw new IllegalStateException(id + ": neither answered nor closed", e);
         }
@@ -61,11 +61,11 @@
         try {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         } catch (IOException e) {
-            sentAtNs = 0; // the scheduler has closed the resting connection: nothing was handed in
+            sentAtNs = 0; // the scheduler has closed the idle connection: no request was submitted
         }
     }
 
-    void sendWhole() {
+    void sendComplete() {
         if (reader.isAlive()) {
             send(request(), true);
         }
@@ -100,12 +100,12 @@
         return answered;
     }
 
-    /** Whether its connection was reset, as the kernel does for a killed process with unread or unanswered bytes. */
+    /** Whether the connection was reset, as the kernel does for a killed process with unread bytes. */
     boolean endedByReset() {
-        return reset;
+        return wasReset;
     }
 
-    /** When its last byte was written, by {@link System#nanoTime}; 0 while it was not. */
+    /** Returns when the last byte was written, by {@link System#nanoTime}, or 0 if it was not. */
     long sentAtNs() {
         return sentAtNs;
     }
--- a/src/test/java/plumpost/cli/InheritedSocketIT.java
+++ b/src/test/java/plumpost/cli/InheritedSocketIT.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import plumpost.Scenario;
 
-/** A listening socket that the platform holds and hands to each process of a scheduler as descriptor 0. */
+/** Tests a listening socket that the platform passes to each process of a scheduler as descriptor 0. */
 class InheritedSocketIT {
-    /** Listens, tells the port, and starts two processes one after the other when it reads a line each. */
+    /** A script that listens, prints the port, and starts a process for each of two lines that it reads. */
     private static final String PLATFORM = """
             use IO::Socket::INET; use POSIX ();
             my $s = IO::Socket::INET->new(LocalAddr => "127.0.0.1:0", Listen => 50) or die;
@@ -47,12 +47,12 @@
         platform.getOutputStream().flush();
     }
 
-    /** Guards upgrades: the second process accepts beside the first, and serves on when that one has ended. */
+    /** In an upgrade the second process accepts alongside the first, and continues to serve after the first has ended. */
     @Test
     @Timeout(60)
     void theSecondProcessServesOnWhenTheFirstEnds() throws Exception {
         Path script = Files.writeString(folder.resolve("platform.pl"), PLATFORM);
-        // No discovery: nothing has to be heard before a process is ready.
+        // Without discovery a process is ready without waiting for a node list.
         Path file = Files.writeString(
                 folder.resolve("c.json"),
                 "{\"name\":\"t\",\"listen\":\"127.0.0.1:0\",\"settings\":" + Scenario.SETTINGS + "}");
--- a/src/test/java/plumpost/cli/MainTest.java
+++ b/src/test/java/plumpost/cli/MainTest.java
@@ -17,7 +17,7 @@
 import plumpost.config.NodeConfig;
 import plumpost.platform.WarmUp;
 
-/** The command line and the configuration behind it. */
+/** Tests the command line and the configuration that it reads. */
 class MainTest {
     private static final Path SAMPLE = Path.of("deploy/gearman.json");
 
@@ -34,7 +34,7 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    /** Guards that a bad command line is one line on standard error and exit code 2. */
+    /** A bad command line prints one line on standard error and returns 2. */
     @ParameterizedTest
     @ValueSource(strings = {"", "fly", "serve --wings", "serve now", "check", "check --config /nowhere", "serve -c"})
     void badArgumentsPrintOneLineAndReturn2(String line) throws IOException {
@@ -44,7 +44,7 @@
                 .hasLineCount(1);
     }
 
-    /** Guards that each fault of a configuration is named in one line; an empty word stands for the file as it is. */
+    /** Each fault of a configuration is named in one line; {@code old} is replaced by {@code replacement} in the sample file. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '~',
@@ -65,21 +65,21 @@
         assertThat(err.toString(StandardCharsets.UTF_8)).contains(expected).hasLineCount(1);
     }
 
-    /** Guards the run at build from which the class archive is made: it serves a request and ends by itself. */
+    /** The command rehearse, from which the build makes the class archive, serves a request and ends by itself. */
     @Test
     @Timeout(20)
     void rehearseServesARequestAndEnds() throws IOException {
         assertThat(run("rehearse", "-c", SAMPLE.toString())).isZero();
     }
 
-    /** Guards the module's picture of the fleet: an order that waits for its connection's proof still starts promptly. */
+    /** The granularity includes the delay of links, so that an order whose connection is being verified still counts as prompt. */
     @Test
     void granularityIncludesTheLinkDelay() {
         NodeConfig config = NodeConfig.read(SAMPLE, java.util.Map.of());
         assertThat(config.settings().granularityMs()).isEqualTo(config.raw().number("granularityMs") + 2.5);
     }
 
-    /** Guards the operator's file in the repository, and that the warm-up serves all its jobs by it. */
+    /** The sample configuration in the repository is valid, and the warm-up serves all its jobs with it. */
     @Test
     void theSampleConfigurationIsValid() throws IOException {
         assertThat(run("check", "-c", SAMPLE.toString())).isZero();
--- a/src/test/java/plumpost/cli/ServeTest.java
+++ b/src/test/java/plumpost/cli/ServeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The whole program as a process of its own, at ports that the system gives. */
+/** Runs the program as a separate process on ephemeral ports. */
 class ServeTest {
     @TempDir
     private Path folder;
@@ -29,7 +29,7 @@
         return new String(answer, 0, client.getInputStream().read(answer), StandardCharsets.US_ASCII);
     }
 
-    /** Guards reloads: a bad file changes nothing, a good one moves the watch, and whoever is connected stays so. */
+    /** On SIGHUP a bad file changes nothing, a good one switches to the new discovery, and open connections are kept. */
     @Test
     @Timeout(60)
     void sighupMovesTheDiscoveryConnection() throws Exception {
@@ -58,7 +58,7 @@
                         file,
                         text.replace(
                                 "\"seed\"", "\"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\", \"seed\""));
-                try (Socket watchConnection = discovery.accept()) { // read again by itself: one SIGHUP is enough
+                try (Socket watchConnection = discovery.accept()) { // the file is read again without a second SIGHUP
                     byte[] requestBytes = new byte[100];
                     assertThat(new String(
                                     requestBytes,
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Guards the memory limit: the heap that the deploy file's command asks for follows limits.memory_mb. */
+    /** The heap size in the command of the deployment file follows limits.memory_mb. */
     @ParameterizedTest
     @CsvSource({"144,57", "64,25"})
     void theHeapFollowsTheMemoryLimit(int limit, int heap) throws Exception {
@@ -97,7 +97,7 @@
         assertThat(Serve.coreBounds((long) heap << 20, null).bodyBytes()).isLessThan((long) heap << 18);
     }
 
-    /** Guards against a process that serves nothing and stays: an address that is taken ends the start, in one line. */
+    /** If an address is in use, the process prints one line and ends instead of running without a listener. */
     @Test
     @Timeout(60)
     void startFailsWhenAnAddressIsInUse() throws Exception {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Guards the deployed scheduler: while its file has no peers, nothing of the fleet's part or its engine is loaded. */
+    /** Without a fleet in the configuration, no class of the fleet or its engine is loaded. */
     @Test
     @Timeout(60)
     void withoutPeersNoFleetClassIsLoaded() throws Exception {
@@ -166,7 +166,7 @@
         return builder;
     }
 
-    /** Guards the orderly end: SIGTERM closes what idles, prints the counters and ends with 0, not the signal's code. */
+    /** On SIGTERM the process closes idle connections, prints the counters and exits with 0 instead of the signal's status. */
     @Test
     @Timeout(60)
     void sigtermStopsTheProcessInOrder() throws Exception {
@@ -186,7 +186,7 @@
                 worker.getOutputStream().write("version\n".getBytes(StandardCharsets.US_ASCII));
                 assertThat(worker.getInputStream().read()).isEqualTo('O');
                 assertThat(ask(client, "/counters")).contains("front.requests 2\n");
-                process.toHandle().destroy(); // Process.destroy would close the log as well
+                process.toHandle().destroy(); // Process.destroy would close the log's stream too
                 assertThat(log.readLine()).contains("stopping, 0 jobs open");
                 try (Socket lateClient = new Socket("127.0.0.1", port)) {
                     assertThat(ask(lateClient, "/health/ready")).startsWith("HTTP/1.1 503 ");
--- a/src/test/java/plumpost/cli/ShutdownFaultsIT.java
+++ b/src/test/java/plumpost/cli/ShutdownFaultsIT.java
@@ -17,31 +17,31 @@
 import plumpost.lab.faults.FaultLibrary;
 
 /**
- * The incident of 2026-12-02 with real processes: a scheduler is told to end while its worker takes requests and never ends
- * them; clients go on sending on the connections that stay open, and SIGKILL comes 3.7 s after SIGTERM. Whatever disturbs the
- * process meanwhile, what was forwarded has its final answer before that.
+ * Tests a shutdown with real processes: the scheduler gets SIGTERM while its workers accept requests and never complete them,
+ * clients keep sending on open connections, and SIGKILL follows 3.7 s later. Requests that were forwarded were once left
+ * without an answer; they must get their final answer before SIGKILL, whatever disturbs the process in the meantime.
  */
 class ShutdownFaultsIT {
-    /** The protocol: SIGKILL comes no sooner than the longest deadline, counted as 3 s at the most, plus 0.7 s. */
+    /** Minimum time from SIGTERM to SIGKILL: the longest deadline, limited to 3 s, plus 0.7 s. */
     private static final long KILL_AFTER_MS = 3_700;
 
     private static final int CLIENTS = 120;
-    /** More than requests that are sent on, so that each finds room. */
+    /** More than the forwarded requests, so that there is a free worker for each. */
     private static final int WORKERS = 60;
 
     private static final long FIRST_REQUEST_MS = 200;
     private static final long LAST_REQUEST_MS = 3_600;
-    /** Every third request comes in two pieces so far apart. */
+    /** Every third request is sent in two pieces with this delay between them. */
     private static final long PIECE_GAP_MS = 100;
 
     private static final long HOUR_MS = 3_600_000;
-    /** The users' terms: a process may be held up for so long between reading its clock and writing. */
+    /** The longest pause between reading the clock and writing that the process must tolerate. */
     private static final long MAX_HOLD_UP_MS = 150;
 
     @TempDir
     private Path folder;
 
-    /** What disturbs the scheduler in its shutdown. */
+    /** What disturbs the scheduler during its shutdown. */
     enum Disturbance {
         NONE,
         SUSPENDED_AT_THE_SIGNAL,
@@ -61,9 +61,9 @@
                 FaultLibrary faults = new FaultLibrary(null);
                 SchedulerProcess scheduler = new SchedulerProcess(configuration(workers), faults.environment())) {
             scheduler.awaitReady();
-            List<RestingClient> clients = new ArrayList<>();
+            List<IdleClient> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                clients.add(new RestingClient(scheduler.front(), "request-" + i, i % 3 == 0));
+                clients.add(new IdleClient(scheduler.front(), "request-" + i, i % 3 == 0));
             }
             if (disturbance == Disturbance.SUSPENDED_AT_THE_SIGNAL) {
                 scheduler.suspend();
@@ -72,20 +72,20 @@
             scheduler.terminate();
             disturb(timeline, disturbance, scheduler, faults);
             for (int i = 0; i < CLIENTS; i++) {
-                RestingClient client = clients.get(i);
+                IdleClient client = clients.get(i);
                 long sendAtMs = FIRST_REQUEST_MS + (LAST_REQUEST_MS - FIRST_REQUEST_MS) * i / (CLIENTS - 1);
                 if (client.sendsInPieces()) {
                     timeline.schedule(sendAtMs, client::sendFirstPiece);
                     timeline.schedule(Math.min(sendAtMs + PIECE_GAP_MS, LAST_REQUEST_MS), client::sendLastPiece);
                 } else {
-                    timeline.schedule(sendAtMs, client::sendWhole);
+                    timeline.schedule(sendAtMs, client::sendComplete);
                 }
             }
             timeline.schedule(KILL_AFTER_MS, scheduler::kill);
             timeline.run();
             scheduler.awaitEnd(TimeUnit.SECONDS.toMillis(10));
             List<String> lost = new ArrayList<>();
-            for (RestingClient client : clients) {
+            for (IdleClient client : clients) {
                 client.awaitEnd();
                 boolean taken = workers.hasTaken(client.id()) || client.endedByReset();
                 if (client.sentAtNs() > 0 && taken && !client.answered()) {
--- a/src/test/java/plumpost/cli/Timeline.java
+++ b/src/test/java/plumpost/cli/Timeline.java
@@ -4,9 +4,9 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Steps of a test at times in milliseconds since the timeline was made, played in order on the calling thread. */
+/** Runs the actions of a test in order on the calling thread, at times in milliseconds since the timeline was created. */
 final class Timeline {
-    /** One thing to do. */
+    /** One action. */
     interface Action {
         void run() throws Exception;
     }
@@ -18,17 +18,17 @@
             new PriorityQueue<>(Comparator.comparingLong(Step::atMs).thenComparingLong(Step::order));
     private long addedCount;
 
-    /** Adds a step; of two at the same time, the one added first comes first. */
+    /** Adds an action; actions with the same time run in the order in which they were added. */
     void schedule(long atMs, Action action) {
         steps.add(new Step(atMs, addedCount++, action));
     }
 
-    /** Milliseconds from the timeline's beginning to a reading of {@link System#nanoTime}. */
+    /** Converts a reading of {@link System#nanoTime} to milliseconds since the timeline was created. */
     long sinceStartMs(long timeNs) {
         return TimeUnit.NANOSECONDS.toMillis(timeNs - startNs);
     }
 
-    /** Plays all steps, each at its time or as soon after it as the one before has ended. */
+    /** Runs all actions, each at its time or, if that is later, when the previous one has ended. */
     void run() throws Exception {
         for (Step step = steps.poll(); step != null; step = steps.poll()) {
             long delayNs = startNs + TimeUnit.MILLISECONDS.toNanos(step.atMs) - System.nanoTime();
--- a/src/test/java/plumpost/config/FleetSettingsTest.java
+++ b/src/test/java/plumpost/config/FleetSettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumpost.decision.Dispatcher;
 
-/** Settings that say how large the fleet is: what is absent has a stated meaning, nonsense is refused by name. */
+/** Tests the settings on the size of the fleet: absent ones have defined defaults, invalid ones are rejected by name. */
 class FleetSettingsTest {
     private static Dispatcher.Settings settings(String fleet) {
         String file = """
@@ -29,7 +29,7 @@
                 .hasMessageContaining("balancers must be at least 1");
     }
 
-    /** Alone, in one plant of one model, no rule for cold nodes: what a file means that says nothing of the fleet. */
+    /** Without settings on the fleet there is one scheduler, one plant, one model and no rule for cold nodes. */
     @Test
     void withoutFleetSettingsThereIsOneScheduler() {
         Dispatcher.Settings alone = settings("");
--- a/src/test/java/plumpost/config/OptionalPartsTest.java
+++ b/src/test/java/plumpost/config/OptionalPartsTest.java
@@ -18,9 +18,9 @@
 import plumpost.config.Json.BadInput;
 import plumpost.config.Json.Fields;
 
-/** Parts of the platform's configuration that are optional or not known here never keep the program from serving. */
+/** Optional or unknown parts of the platform's configuration never prevent the start. */
 class OptionalPartsTest {
-    /** All that the platform's pages tell, on a deployment whose schedulers may talk. */
+    /** A file with all documented settings of the platform, for schedulers that may communicate with each other. */
     private static final String COMPLETE_FILE = """
         {"name":"n3","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
@@ -43,7 +43,7 @@
         "rules":{"coldFrom":0.32,"coldMs":8900.0,"fallMs":1000.0,"fallMultiple":3.0,"graceToAnswerMs":8.0,
           "mustAskInMs":10000.0,"stopSendingWithinMs":400.0}}}""";
 
-    /** Without these there is nothing to serve, or nothing to serve by. */
+    /** Required settings: without them the program cannot serve. */
     private static final List<String> REQUIRED = List.of(
             "listen",
             "settings",
@@ -52,7 +52,7 @@
             "settings.classes.deadlineMs",
             "settings.classes.effect",
             "settings.rules");
-    /** Limits in use: a number out of their range is a wrong limit, and is told as one. */
+    /** Limits that are checked: a number out of range is reported as an error. */
     private static final List<String> RANGE_CHECKED = List.of("limits.sockets", "settings.ceilings.maxAttempts");
 
     @TempDir
@@ -81,7 +81,7 @@
         return paths;
     }
 
-    /** The value with another in the place of a path; a list stands for its first item. */
+    /** Returns a copy with the value at a path replaced; in a list the path applies to the first item. */
     private static Object replaced(Object whole, List<String> path, Object value) {
         if (path.isEmpty()) {
             return value;
@@ -107,14 +107,16 @@
         return NodeConfig.from(Json.fields("configuration", changed).lenient(), Map.of());
     }
 
-    /** Guards the start: each kind of value in each optional place, the platform's talk of peers among them. */
+    /** A value of any type at any optional path, including the platform's addresses of peers, does not prevent the start. */
     @Test
     void noOptionalValuePreventsTheStart() {
         int checked = 0;
         for (String path : paths("", completeFile().map())) {
             for (Object value : valuesOfEachKind()) {
-                boolean range = RANGE_CHECKED.contains(path) && value instanceof Number;
-                if (!REQUIRED.contains(path) && !range && !(path.equals("discovery") && value instanceof String)) {
+                boolean rangeChecked = RANGE_CHECKED.contains(path) && value instanceof Number;
+                if (!REQUIRED.contains(path)
+                        && !rangeChecked
+                        && !(path.equals("discovery") && value instanceof String)) {
                     NodeConfig config = replaced(path, value);
                     assertThat(config.peers()).as(path + " " + value).isNull();
                     assertThat(config.listen().getPort()).isEqualTo(8000);
@@ -125,7 +127,7 @@
         assertThat(checked).isGreaterThan(700);
     }
 
-    /** Guards the same for keys that no page has yet, at the top and in each object. */
+    /** Unknown keys, at the top level and in nested objects, are ignored. */
     @Test
     void unknownKeysAreIgnored() {
         for (Object value : valuesOfEachKind()) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /** Guards whoever looks for the cause: what is passed over is told by its name, its value and what was wanted. */
+    /** Each ignored field is reported with its name, its value and the expected type. */
     @Test
     void ignoredFieldsAreReported() throws IOException {
         Path file = folder.resolve("c.json");
@@ -154,7 +156,7 @@
                         + " and is passed over");
     }
 
-    /** Guards a running scheduler: at SIGHUP a value that would be passed over is a bad file, and the old one holds. */
+    /** At SIGHUP a file with a value that would be ignored is rejected, unless the applied file had the same one. */
     @Test
     void atSighupAFileWithAnIgnoredFieldIsRejected() {
         Fields bad = Json.object(
@@ -166,11 +168,11 @@
                 .hasMessageContaining("field probes is 7");
         Fields again = Json.fields("configuration", bad.map()).lenient();
         assertThat(NodeConfig.reload(bad, again, Map.of()).name())
-                .as("a file like the one of the start")
+                .as("the same ignored field as in the applied file")
                 .isEqualTo("n3");
     }
 
-    /** Guards fleets: the section holds under both names, and one that is misspelt is told and not taken for addresses. */
+    /** The fleet's section is read under both of its names, and a faulty one is reported instead of being ignored. */
     @ParameterizedTest
     @ValueSource(strings = {"peers", "plumpost_fleet"})
     void theFleetSectionIsReadUnderBothNames(String name) {
--- a/src/test/java/plumpost/config/PeersConfigTest.java
+++ b/src/test/java/plumpost/config/PeersConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import plumpost.config.Json.BadInput;
 
-/** The section {@code peers}: what is wrong with it is told with field and value. */
+/** Tests the section {@code peers}: faults are reported with field and value. */
 class PeersConfigTest {
     private static final String GOOD = "{\"group\":\"g\",\"data\":\"d\",\"members\":[{\"name\":\"a\",\"address\":"
             + "\"127.0.0.1:1\",\"site\":\"n\",\"vote\":true},{\"name\":\"b\",\"address\":\"127.0.0.1:2\"}]}";
@@ -24,7 +24,7 @@
         PeersConfig config = read(GOOD);
         assertThat(config.lostMs()).isEqualTo(1500);
         assertThat(config.covered().classes())
-                .as("nothing is covered unless the file says so")
+                .as("no class is covered by default")
                 .isEmpty();
         assertThat(config.self().vote()).isTrue();
         assertThat(config.voters()).extracting(PeersConfig.Member::name).containsExactly("a");
@@ -33,7 +33,7 @@
                 .isEqualTo(Path.of("/x"));
     }
 
-    /** Guards large fleets: 1,024 members are taken, and one more is told. */
+    /** A fleet of 1,024 members is accepted, and one of 1,025 is rejected. */
     @Test
     void upTo1024MembersAreAccepted() {
         StringBuilder more = new StringBuilder();
--- a/src/test/java/plumpost/config/SighupFilesTest.java
+++ b/src/test/java/plumpost/config/SighupFilesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files read at SIGHUP: each kind of broken one is turned down whole, with a word that names what is wrong. */
+/** Tests files read at SIGHUP: a broken one is rejected as a whole, with a message that names the fault. */
 class SighupFilesTest {
     private static final String GOOD = """
         {"name":"n0","listen":"127.0.0.1:8000","ops":"127.0.0.1:9600","limits":{"memory_mb":144,"sockets":384},
@@ -23,7 +23,7 @@
         return Json.object("configuration", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Guards the good case: new classes and fewer attempts are taken. */
+    /** New classes and a lower number of attempts are applied. */
     @Test
     void aGoodFileIsApplied() {
         String changed = GOOD.replace("\"maxAttempts\":6", "\"maxAttempts\":2")
@@ -35,7 +35,7 @@
         assertThat(config.settings().limits().maxAttempts()).isEqualTo(2);
     }
 
-    /** Guards the old settings against each kind of broken file: nothing of it is taken, the word names the fault. */
+    /** Each kind of broken file is rejected as a whole, and the message names the fault. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/src/test/java/plumpost/control/ControlTest.java
+++ b/src/test/java/plumpost/control/ControlTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 import plumpost.Scenario;
 
-/** The operators' listener and their bans, in memory with a clock that stands still between steps. */
+/** Tests the operators' calls and bans in memory, with a clock that advances only between steps. */
 class ControlTest {
 
-    /** Guards the upgrade's yes: ready says 200 while the process serves, 503 once it drains. */
+    /** An upgrade relies on this: /control/ready answers 200 while the process serves and 503 once it drains. */
     @Test
     void readyReportsWhetherTheProcessServes() {
         Scenario scenario = new Scenario(1).play("""
@@ -23,7 +23,7 @@
             """);
     }
 
-    /** Guards the drain rule on maintenance: after the yes nothing new goes out, and the call back brings it back. */
+    /** After the ban is acknowledged the worker gets no new attempt; after it is lifted, the worker is used again. */
     @Test
     void aNodeTakenOfflineGetsNoNewJobUntilItIsBack() {
         Scenario scenario = new Scenario(1).play("""
@@ -42,7 +42,7 @@
         assertThat(scenario.counters.of("guard.drain")).isZero();
     }
 
-    /** Guards an order whose last byte is held back when the call comes: it must not be finished on that node. */
+    /** An order whose last byte is not sent yet when its node is banned must not be completed on that node. */
     @Test
     void anOrderHalfWrittenWhenItsNodeGoesOfflineIsNotCompleted() {
         Scenario scenario = new Scenario(1).play("""
@@ -56,7 +56,7 @@
         assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
     }
 
-    /** Guards the ban against the list: a later whole list that says the node is up does not lift it. */
+    /** A later complete node list that reports the node as up does not lift its ban. */
     @Test
     void aBanOutlivesANewNodeList() {
         Scenario scenario = new Scenario(1).play("""
@@ -79,7 +79,7 @@
             """);
     }
 
-    /** Guards the operators' no: an id that was never listed, a path or method that does not exist. */
+    /** An unknown worker id, path or method and a malformed request are each rejected with their status. */
     @Test
     void unknownIdsPathsAndMethodsAreRejected() {
         Scenario scenario = new Scenario(1).play("""
@@ -101,7 +101,7 @@
         assertThat(scenario.room.avoided()).isZero();
     }
 
-    /** Guards the places of others against a caller who never ends its call: it is cut, and only it. */
+    /** A connection whose call is never completed is closed, and no other connection is affected. */
     @Test
     void anUnfinishedCallIsClosedAfterItsTimeout() {
         new Scenario(1).play("""
@@ -115,7 +115,7 @@
             """);
     }
 
-    /** Guards the figures: what the core did, by class, counted as it happened. */
+    /** The metrics count what the core did, by job class. */
     @Test
     void theCountersMatchWhatHappened() {
         Scenario scenario = new Scenario(1).play("""
--- a/src/test/java/plumpost/control/CrowdedListenerTest.java
+++ b/src/test/java/plumpost/control/CrowdedListenerTest.java
@@ -22,11 +22,11 @@
 import plumpost.time.SystemClock;
 import plumpost.time.TimerWheel;
 
-/** The operators' listener on real loopback sockets, among many callers who never finish their calls. */
+/** Tests the operators' listener on loopback sockets while many clients never finish their calls. */
 class CrowdedListenerTest {
     private static final int UNFINISHED_CALLS = 600;
 
-    /** Guards the answer within 1 s: hundreds of half-written callers hold places, a whole call still gets in. */
+    /** A complete call is answered within 1 s although hundreds of unfinished calls occupy the listener's connections. */
     @Test
     @Timeout(30)
     void aCompleteCallIsAnsweredAmongUnfinishedOnes() throws Exception {
--- a/src/test/java/plumpost/control/HostileCallsTest.java
+++ b/src/test/java/plumpost/control/HostileCallsTest.java
@@ -15,7 +15,7 @@
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 
-/** Hostile bytes on the operators' listener, in pieces of any size: one answer at most, and never a fault. */
+/** Feeds arbitrary bytes to the operators' listener in chunks of any size: at most one answer, and never an exception. */
 class HostileCallsTest {
     private static final List<String> CALLS = List.of(
             "GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -24,7 +24,7 @@
             "POST /control/workers/node1/online HTTP/1.0\r\n\r\n",
             "POST /control/workers/node1/offline HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
 
-    /** Guards the listener's state machine against any bytes in any pieces: at most one answer, a known status. */
+    /** Any bytes in any chunks get at most one answer, with one of the expected statuses, after which the connection is closed. */
     @Property(tries = 600, seed = "600")
     void anyBytesInAnyPiecesGetAtMostOneAnswer(@ForAll("calls") byte[] bytes, @ForAll("cuts") List<Integer> cuts) {
         Scenario scenario = new Scenario(1);
@@ -67,7 +67,7 @@
         return Arbitraries.integers().between(1, 64).list().ofMaxSize(40);
     }
 
-    /** One connection that keeps what is written to it. */
+    /** A connection that records what is written to it. */
     private static final class RecordingConnection implements Connection {
         private final List<ByteBuffer> out = new ArrayList<>();
         private boolean closed;
--- a/src/test/java/plumpost/control/SharedBansTest.java
+++ b/src/test/java/plumpost/control/SharedBansTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import plumpost.Scenario;
 
-/** Two processes of one scheduler, as two cores in memory that share a directory. */
+/** Tests two processes of one scheduler, simulated by two cores in memory that share a directory. */
 class SharedBansTest {
 
-    /** Guards the overlap of an upgrade: a ban told to one holds in the other within the grace, and so does its end. */
+    /** During an upgrade a ban set in one process holds in the other within the polling interval, and so does its removal. */
     @Test
     void aBanSetInOneProcessHoldsInTheOther(@TempDir Path directory) {
         Scenario oldProcess = new Scenario(1);
@@ -38,7 +38,7 @@
         assertThat(oldProcess.room.avoided()).isZero();
     }
 
-    /** Guards the next process: it starts with the bans that the last one left, and a torn file is passed over. */
+    /** A new process starts with the bans in the file that the previous process left. */
     @Test
     void theNextProcessTakesOverTheBans(@TempDir Path directory) throws IOException {
         Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node1\n");
@@ -49,13 +49,13 @@
     }
 
     /**
-     * Guards a ban against a disk that fails for a while: it holds here, is not acknowledged before it is kept for the next
-     * process, is kept as soon as the disk works again, and the outage is told once.
+     * While writes fail, a ban holds in this process but is not acknowledged. It is saved for the next process as soon as
+     * writes succeed again, and the outage is counted once.
      */
     @Test
     void aBanIsAcknowledgedOnceItIsSaved(@TempDir Path directory) throws IOException {
-        Path blocked =
-                Files.createDirectories(directory.resolve(SharedBans.FILE_NAME + ".new/occupied")); // every write fails
+        Path blocked = Files.createDirectories(
+                directory.resolve(SharedBans.FILE_NAME + ".new/occupied")); // makes every write fail
         Scenario scenario = new Scenario(2);
         SharedBans shared = new SharedBans(directory, scenario.room, context(scenario));
         ControlOperations operations = new ControlOperations(scenario.room, scenario.counters, shared, () -> true);
@@ -64,7 +64,7 @@
         operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         assertThat(answers).allMatch(answer -> answer.startsWith("null ") && answer.contains("node1"));
-        assertThat(scenario.room.avoided()).as("it holds here").isEqualTo(1);
+        assertThat(scenario.room.avoided()).as("banned in this process").isEqualTo(1);
         scenario.play("wait 1000");
         assertThat(scenario.counters.of("bans.file_unwritten"))
                 .as("an outage is counted once")
@@ -78,7 +78,7 @@
         assertThat(scenario.log.stream().filter(line -> line.contains("bans"))).hasSize(2);
     }
 
-    /** Guards a ban that is not kept yet against the other process's file: neither undoes the other. */
+    /** A ban that is not saved yet and a change by the other process do not undo each other. */
     @Test
     void unsavedBansAreNotUndoneByTheOtherProcess(@TempDir Path directory) throws IOException {
         Scenario scenario = new Scenario(2);
@@ -89,7 +89,7 @@
         operations.changeBan("node1", true, (result, reason) -> {});
         Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node2\n");
         scenario.play("wait 300");
-        assertThat(scenario.room.avoided()).as("both hold").isEqualTo(2);
+        assertThat(scenario.room.avoided()).as("both workers are banned").isEqualTo(2);
         Files.delete(blocked);
         Files.delete(blocked.getParent());
         scenario.play("wait 300");
