--- a/src/main/java/plumpost/cli/Main.java
+++ b/src/main/java/plumpost/cli/Main.java
@@ -15,21 +15,21 @@
 import plumpost.config.PeersConfig;
 import plumpost.lab.LabMain;
 
-/** Command line: one word names what to do, options follow. */
+/** The command line: a command followed by its options. */
 public final class Main {
     private static final String USAGE = "plumpost serve|rehearse|check|fleet|benchlink|lab|version|help [options]";
 
     private Main() {}
 
-    /** Runs a command; bad arguments and bad configuration end with one line and 2. */
+    /** Runs a command; on bad arguments or a bad configuration prints one line and exits with status 2. */
     public static void main(String[] args) throws IOException {
         System.exit(run(args, System.out, System.err));
     }
 
-    /** The version that the build has written into the jar. */
+    /** Returns the version that the build has written into the jar. */
     static String version() {
-        String v = Main.class.getPackage().getImplementationVersion();
-        return v == null ? "unbuilt" : v;
+        String version = Main.class.getPackage().getImplementationVersion();
+        return version == null ? "unbuilt" : version;
     }
 
     static int run(String[] args, PrintStream out, PrintStream err) throws IOException {
@@ -40,8 +40,8 @@
             return FleetCommands.run(Arrays.copyOfRange(args, 1, args.length), out, err);
         }
         Options options = new Options();
-        options.addOption("c", "config", true, "configuration file; NODE_CONFIG where it is not given");
-        options.addOption(null, "data", true, "serve: data directory, in place of peers.data");
+        options.addOption("c", "config", true, "configuration file (default: NODE_CONFIG)");
+        options.addOption(null, "data", true, "serve: data directory, overrides peers.data");
         try {
             CommandLine line = new DefaultParser()
                     .parse(options, args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length));
@@ -51,21 +51,22 @@
             }
             switch (args.length == 0 ? "" : args[0]) {
                 case "serve" -> {
-                    return new Serve(Serve.file(line.getOptionValue("config")), line.getOptionValue("data")).run();
+                    return new Serve(Serve.configPath(line.getOptionValue("config")), line.getOptionValue("data"))
+                            .run();
                 }
                 case "rehearse" -> {
-                    return new Serve(Serve.file(line.getOptionValue("config")), null).rehearse();
+                    return new Serve(Serve.configPath(line.getOptionValue("config")), null).rehearse();
                 }
                 case "check" -> {
-                    Json.Fields file = NodeConfig.parse(Serve.file(line.getOptionValue("config")));
-                    NodeConfig c = NodeConfig.from(file, System.getenv());
-                    if (!file.passedOver().isEmpty()) {
-                        throw new BadInput(file.passedOver().get(0)); // it would serve all the same
+                    Json.Fields file = NodeConfig.parse(Serve.configPath(line.getOptionValue("config")));
+                    NodeConfig config = NodeConfig.from(file, System.getenv());
+                    if (!file.ignored().isEmpty()) {
+                        throw new BadInput(file.ignored().get(0)); // serve would only log it
                     }
-                    if (c.peers() != null) {
-                        PeersConfig.read(c.peers(), c.name(), null, c.discovery() != null);
+                    if (config.peers() != null) {
+                        PeersConfig.read(config.peers(), config.name(), null, config.discovery() != null);
                     }
-                    out.println("configuration of " + c.name() + " is in order");
+                    out.println("configuration of " + config.name() + " is valid");
                 }
                 case "benchlink" -> {
                     return new WireHost(System.in, out, err).run();
--- a/src/main/java/plumpost/config/NodeConfig.java
+++ b/src/main/java/plumpost/config/NodeConfig.java
@@ -14,20 +14,20 @@
 import plumpost.time.HoldUp;
 
 /**
- * What a scheduler is told at its start.
+ * A scheduler's configuration.
  *
- * @param name its name
- * @param listen where clients connect, or null
- * @param discovery where the node list is, or null
- * @param seed for random numbers
- * @param sockets descriptors that the process may hold
- * @param settings the settings in the module's words
- * @param raw the settings as given
- * @param known the list of route nodes as last had
- * @param gearman the Gearman front, or null while it is off
- * @param logFormat text or json, or null where the file says nothing of the log
- * @param ops where the operators' calls are listened for, or null
- * @param peers the section that names the schedulers that this one may talk to, as given, or null while there are none
+ * @param name the scheduler's name
+ * @param listen the address for HTTP clients, or null
+ * @param discovery the address of discovery, or null
+ * @param seed seed for random numbers
+ * @param sockets maximum number of descriptors that the process may use
+ * @param settings the dispatcher's settings
+ * @param raw the section {@code settings} as read
+ * @param known the last known list of route nodes
+ * @param gearman the Gearman front's settings, or null if it is off
+ * @param logFormat text or json, or null if the file does not set it
+ * @param ops the address for operators' calls, or null
+ * @param peers the section on this scheduler's fleet as read, or null if it is in none
  */
 public record NodeConfig(
         String name,
@@ -43,7 +43,7 @@
         InetSocketAddress ops,
         Fields peers) {
 
-    /** A configuration without peers. */
+    /** Creates a configuration without a fleet. */
     public NodeConfig(
             String name,
             InetSocketAddress listen,
@@ -60,50 +60,50 @@
     }
 
     /**
-     * What real links add to the granularity that is told: an order's new connection and the proof that it stands take
-     * some 10 ms, and the module takes a start for prompt within four times its granularity.
+     * Added to the configured granularity for real network links: opening and verifying a new connection for an order takes
+     * about 10 ms, and the dispatcher regards a start as prompt within four times its granularity.
      */
-    static final double LINK_MS = 2.5;
-    /** The fleet's section under a name that no platform's page uses. */
-    static final String FLEET = "plumpost_fleet";
+    static final double LINK_GRANULARITY_MS = 2.5;
+    /** Name of the fleet's section that no platform's configuration uses. */
+    static final String FLEET_SECTION = "plumpost_fleet";
 
-    private static final SettingsReader.Host REAL_HOST =
-            new SettingsReader.Host(LINK_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
+    private static final SettingsReader.HostTiming REAL_HOST =
+            new SettingsReader.HostTiming(LINK_GRANULARITY_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
 
-    /** Takes the file read anew: it is newer than the environment, so its discovery goes before NODE_DISCOVERY. */
+    /** Reads a reloaded file: it is newer than the environment, so its discovery address overrides NODE_DISCOVERY. */
     public static NodeConfig reread(Fields file, Map<String, String> environment) {
-        Map<String, String> older = new HashMap<>(environment);
-        older.remove("NODE_DISCOVERY");
-        return from(file, older);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove("NODE_DISCOVERY");
+        return from(file, withoutDiscovery);
     }
 
     /**
-     * Takes a file read at SIGHUP, or says why not: one that is empty or cut off, lacks a key that the file taken last
-     * had, or has a deadline or attempts not over 0, is bad input as a whole, and nothing of it is taken.
+     * Reads a file reloaded at SIGHUP. Throws {@link BadInput}, so that nothing of the file is applied, if it is empty or
+     * truncated, lacks a key of the last applied file, or has a deadline or number of attempts that is not positive.
      */
-    public static NodeConfig again(Fields last, Fields whole, Map<String, String> environment) {
-        String gap = Shape.missing(last.map(), whole.map());
-        if (gap != null) {
-            throw new BadInput("configuration: key " + gap + " is missing");
+    public static NodeConfig reload(Fields previous, Fields current, Map<String, String> environment) {
+        String missingKey = ConfigShape.firstMissingKey(previous.map(), current.map());
+        if (missingKey != null) {
+            throw new BadInput("configuration: key " + missingKey + " is missing");
         }
-        NodeConfig taken = reread(whole, environment);
-        for (String passedOver : whole.passedOver() == null ? List.<String>of() : whole.passedOver()) {
-            if (last.passedOver() == null || !last.passedOver().contains(passedOver)) {
-                throw new BadInput(
-                        passedOver); // at the start it would be better than nothing, now the old file is better
+        NodeConfig config = reread(current, environment);
+        for (String ignored : current.ignored() == null ? List.<String>of() : current.ignored()) {
+            if (previous.ignored() == null || !previous.ignored().contains(ignored)) {
+                // At the start the field would be ignored; now the old configuration is the better choice.
+                throw new BadInput(ignored);
             }
         }
-        return taken;
+        return config;
     }
 
-    /** Reads the file and lets the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before it. */
+    /** Reads a file; the environment variables described at {@link #from} override its values. */
     public static NodeConfig read(Path file, Map<String, String> environment) {
         return from(parse(file), environment);
     }
 
     /**
-     * The file as JSON, before anything is taken from it; an empty or cut-off file is bad input. Its optional parts may be of
-     * kinds that are not known here: a platform's newer page must not keep this program from serving.
+     * Parses the file as JSON without interpreting it; throws {@link BadInput} if it is empty or truncated. Optional fields of
+     * unexpected types are ignored, so that a configuration of a newer platform does not prevent the start.
      */
     public static Fields parse(Path file) {
         try {
@@ -113,89 +113,93 @@
         }
     }
 
-    /** Takes what a file says, with the environment's NODE_NAME, NODE_LISTEN and NODE_DISCOVERY before it. */
-    public static NodeConfig from(Fields f, Map<String, String> environment) {
-        Fields raw = f.object("settings");
+    /**
+     * Interprets a parsed file. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_OPS in the environment override its values.
+     * Throws {@link BadInput} if a required value is missing or invalid.
+     */
+    public static NodeConfig from(Fields file, Map<String, String> environment) {
+        Fields raw = file.object("settings");
         Dispatcher.Settings settings;
         try {
             settings = SettingsReader.settings(raw, REAL_HOST);
         } catch (IllegalArgumentException e) {
             throw new BadInput("configuration: " + e.getMessage());
         }
-        NodeConfig c = new NodeConfig(
-                environment.getOrDefault("NODE_NAME", f.text("name", "plumpost")),
-                address(environment, "NODE_LISTEN", f, "listen"),
-                address(environment, "NODE_DISCOVERY", f, "discovery"),
-                seed(f),
-                (int) f.objectOrEmpty("limits").number("sockets", 1024),
+        NodeConfig config = new NodeConfig(
+                environment.getOrDefault("NODE_NAME", file.text("name", "plumpost")),
+                address(environment, "NODE_LISTEN", file, "listen"),
+                address(environment, "NODE_DISCOVERY", file, "discovery"),
+                seed(file),
+                (int) file.objectOrEmpty("limits").number("sockets", 1024),
                 settings,
                 raw,
-                f.objectOrEmpty("known"),
-                isObject(f, "gearman") ? GearmanConfig.read(strict(f, "gearman"), raw) : null,
-                isObject(f, "log") ? logFormat(strict(f, "log")) : null,
-                address(environment, "NODE_OPS", f, "ops"),
-                fleetSection(f));
-        if (c.listen == null && c.gearman == null) {
+                file.objectOrEmpty("known"),
+                isObject(file, "gearman") ? GearmanConfig.read(ownSection(file, "gearman"), raw) : null,
+                isObject(file, "log") ? logFormat(ownSection(file, "log")) : null,
+                address(environment, "NODE_OPS", file, "ops"),
+                fleetSection(file));
+        if (config.listen == null && config.gearman == null) {
             throw new BadInput("configuration: neither listen nor gearman.listen is given");
         }
-        if (c.sockets < 64) {
+        if (config.sockets < 64) {
             throw new BadInput("configuration: limits.sockets is under 64");
         }
-        return c;
+        return config;
     }
 
-    /** Whether an optional section of this program's own is given; something else under its name is passed over. */
-    private static boolean isObject(Fields f, String name) {
-        return !f.objectOrEmpty(name).map().isEmpty() || f.map().get(name) instanceof Map;
+    /** Whether an optional section of this program is present; a value of another type under its name is ignored. */
+    private static boolean isObject(Fields file, String name) {
+        return !file.objectOrEmpty(name).map().isEmpty() || file.map().get(name) instanceof Map;
     }
 
-    /** A section of this program's own: what is misspelt there is bad input. */
-    private static Fields strict(Fields f, String name) {
-        return Json.fields(f.where() + "." + name, f.map().get(name));
+    /** Returns a section that only this program defines, in strict mode: a wrong type there is an error. */
+    private static Fields ownSection(Fields file, String name) {
+        return Json.fields(file.where() + "." + name, file.map().get(name));
     }
 
     /**
-     * The section on this program's fleet, or null. Its own name is {@value #FLEET}. Under {@code peers} stands either that
-     * section or what the platform tells of other schedulers (addresses, in whatever form), which is not used here.
+     * Returns the section on this scheduler's fleet, or null. Its own name is {@value #FLEET_SECTION}. The key {@code peers}
+     * contains either that section or the platform's addresses of other schedulers, in any form, which are not used here.
      */
-    private static Fields fleetSection(Fields f) {
-        if (f.has(FLEET)) {
-            return strict(f, FLEET);
+    private static Fields fleetSection(Fields file) {
+        if (file.has(FLEET_SECTION)) {
+            return ownSection(file, FLEET_SECTION);
         }
-        boolean fleet = f.map().get("peers") instanceof Map<?, ?> section
+        boolean fleet = file.map().get("peers") instanceof Map<?, ?> section
                 && PeersConfig.SETTINGS.stream().anyMatch(section::containsKey);
-        return fleet ? strict(f, "peers") : null;
+        return fleet ? ownSection(file, "peers") : null;
     }
 
-    private static String logFormat(Fields f) {
-        f.only("format");
-        String format = f.text("format", "text");
+    private static String logFormat(Fields section) {
+        section.allowOnly("format");
+        String format = section.text("format", "text");
         if (!format.equals("text") && !format.equals("json")) {
-            throw new BadInput(f.where() + ": field format is " + format + ", not text or json");
+            throw new BadInput(section.where() + ": field format is " + format + ", not text or json");
         }
         return format;
     }
 
-    /** Reads a section {@code gearman} beside the settings that it names classes, plants and models of. */
+    /** Reads a section {@code gearman}, resolving its names of classes, plants and models in the given settings. */
     public static GearmanConfig gearman(Fields section, Fields settings) {
         return GearmanConfig.read(section, settings);
     }
 
-    private static InetSocketAddress address(Map<String, String> environment, String variable, Fields f, String field) {
-        String text = environment.getOrDefault(variable, f.text(field, null));
+    private static InetSocketAddress address(
+            Map<String, String> environment, String variable, Fields file, String field) {
+        String text = environment.getOrDefault(variable, file.text(field, null));
         return text == null || text.isEmpty()
                 ? null
                 : NodeListReader.address(
                         environment.containsKey(variable) ? variable : "configuration: " + field, text);
     }
 
-    /** The seed's number; a text that is no hexadecimal number still differs from start to start. */
-    private static long seed(Fields f) {
-        String text = f.text("seed", "0");
+    /** Parses the hexadecimal seed; any other text is hashed, so that different texts still give different seeds. */
+    private static long seed(Fields file) {
+        String text = file.text("seed", "0");
         try {
             return new BigInteger(text, 16).longValue();
         } catch (NumberFormatException e) {
-            f.passOver("seed", text, "hexadecimal");
+            file.ignore("seed", text, "hexadecimal");
             return text.hashCode();
         }
     }
--- a/src/main/java/plumpost/config/NodeListReader.java
+++ b/src/main/java/plumpost/config/NodeListReader.java
@@ -10,34 +10,34 @@
 import plumpost.decision.Dispatcher.Phase;
 import plumpost.decision.Dispatcher.WorkerEntry;
 
-/** Reads the node list as discovery words it, and as the configuration keeps the last one. */
+/** Reads node lists in the format of discovery, which the configuration also uses for the last known list. */
 public final class NodeListReader {
     private static final String IPV4 = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])){3}";
 
-    /** The end of the year 9999: what lies later is no time that a clock has told. */
-    private static final double LATEST_UNIX_MS = 253_402_300_800_000.0;
+    /** End of the year 9999 as Unix time; a later time is invalid. */
+    private static final double MAX_UNIX_MS = 253_402_300_800_000.0;
 
     private final List<?> plants;
     private final List<?> models;
     private final StartTimes startTimes;
     private final Consumer<String> malformed;
 
-    /** Takes the Unix times at which workers started to the clock by which spans run. */
+    /** Converts the Unix times at which workers started to the event loop's clock. */
     public interface StartTimes {
-        /** Times that are taken as they come, where the clock tells Unix time itself. */
+        /** Leaves times unchanged, for a clock that shows Unix time. */
         StartTimes AS_GIVEN = (host, bornMs) -> bornMs;
 
-        /** When a worker started by the loop's clock; {@code bornMs} is over 0. */
+        /** Returns a worker's start by the loop's clock; {@code bornMs} is greater than 0. */
         double moment(String host, double bornMs);
     }
 
-    /** One line of a list: a route node, and the address at which this scheduler reaches it. */
+    /** One entry of a node list: a route node and the address at which this scheduler reaches it. */
     public record Line(WorkerEntry entry, InetSocketAddress dial) {}
 
-    /** A list or its changes, with the version. */
+    /** A complete node list or the changes to it, with its version. */
     public record Listing(long seq, boolean whole, List<Line> lines) {}
 
-    /** A reader that knows the names of plants and models; it reports each malformed line and passes it over. */
+    /** Creates a reader with the names of plants and models from the settings; malformed lines are reported and skipped. */
     public NodeListReader(Fields settings, StartTimes startTimes, Consumer<String> malformed) {
         this.startTimes = startTimes;
         this.plants = settings.listOrEmpty("dcs");
@@ -45,70 +45,70 @@
         this.malformed = malformed;
     }
 
-    /** Reads a list; {@link BadInput} where it is none. */
-    public Listing read(Fields f) {
+    /** Reads a list; throws {@link BadInput} if it is not a node list. */
+    public Listing read(Fields list) {
         List<Line> lines = new ArrayList<>();
-        for (Object o : f.listOrEmpty("hosts")) {
+        for (Object item : list.listOrEmpty("hosts")) {
             try {
-                lines.add(line(Json.fields("hosts", o)));
+                lines.add(readLine(Json.fields("hosts", item)));
             } catch (BadInput e) {
                 malformed.accept(e.getMessage());
             }
         }
-        return new Listing(f.longWhole("seq"), f.flag("whole", false), lines);
+        return new Listing(list.longWhole("seq"), list.flag("whole", false), lines);
     }
 
-    private Line line(Fields f) {
+    private Line readLine(Fields fields) {
         Phase phase =
-                switch (f.text("health")) {
+                switch (fields.text("health")) {
                     case "up" -> Phase.SERVING;
                     case "removed" -> Phase.DELETED;
-                    default -> Phase.DRAINING; // draining, or a word not known here: nothing new is sent
+                    default -> Phase.DRAINING; // draining, or an unknown value: no new jobs are sent
                 };
         WorkerEntry entry = new WorkerEntry(
-                f.text("host"),
-                place(plants, f, "site"),
-                place(models, f, "class"),
-                (int) f.number("block", 0),
+                fields.text("host"),
+                indexOrZero(plants, fields, "site"),
+                indexOrZero(models, fields, "class"),
+                (int) fields.number("block", 0),
                 phase,
-                f.number("share", 1),
-                startedAt(f));
-        String dial = f.text("dial", null);
+                fields.number("share", 1),
+                startedAt(fields));
+        String dial = fields.text("dial", null);
         if (dial == null && phase == Phase.SERVING) {
             throw new BadInput("hosts: " + entry.id() + " has no dial address");
         }
         return new Line(entry, dial == null ? null : address("dial", dial));
     }
 
-    /** When the worker started, 0 for long ago. A time that cannot be is reported, and the line holds with long ago. */
-    private double startedAt(Fields f) {
-        double bornMs = f.number("born_ms", 0);
-        if (!(bornMs >= 0 && bornMs < LATEST_UNIX_MS)) {
-            malformed.accept("hosts: field born_ms of " + f.text("host") + " is " + bornMs + ", no Unix time");
+    /** Returns when the worker started, 0 for long ago. An invalid time is reported and read as 0. */
+    private double startedAt(Fields fields) {
+        double bornMs = fields.number("born_ms", 0);
+        if (!(bornMs >= 0 && bornMs < MAX_UNIX_MS)) {
+            malformed.accept("hosts: field born_ms of " + fields.text("host") + " is " + bornMs + ", no Unix time");
             return 0;
         }
-        return bornMs == 0 ? 0 : startTimes.moment(f.text("host"), bornMs);
+        return bornMs == 0 ? 0 : startTimes.moment(fields.text("host"), bornMs);
     }
 
-    private static int place(List<?> names, Fields f, String field) {
-        String name = f.text(field, null);
-        return name == null ? 0 : Math.max(0, names.indexOf(name)); // an unmodifiable list refuses to look for null
+    private static int indexOrZero(List<?> names, Fields fields, String field) {
+        String name = fields.text(field, null);
+        return name == null ? 0 : Math.max(0, names.indexOf(name)); // an unmodifiable list throws on indexOf(null)
     }
 
-    /** An address given as host and port in numbers; names are not looked up. */
-    public static InetSocketAddress address(String what, String text) {
+    /** Parses a numeric IP address and port; host names are not resolved. Throws {@link BadInput} for anything else. */
+    public static InetSocketAddress address(String source, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0
                 ? ""
                 : text.substring(0, colon).replaceAll("^\\[|\\]$", "").toLowerCase(Locale.ROOT);
         if (!host.matches(IPV4 + "|[0-9a-f:.]*:[0-9a-f:.]*")
                 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
-            throw new BadInput(what + " is not an address and port: " + text);
+            throw new BadInput(source + " is not an address and port: " + text);
         }
         try {
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(what + " is not an address and port: " + text);
+            throw new BadInput(source + " is not an address and port: " + text);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/plumpost/fleet/engine/RaftCalls.java
@@ -0,0 +1,143 @@
+package plumpost.fleet.engine;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CompletionException;
+import java.util.concurrent.Executor;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ThreadFactory;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.apache.ratis.client.RaftClient;
+import org.apache.ratis.protocol.RaftClientReply;
+
+/**
+ * Runs blocking calls to the fleet through a Ratis client, each on a thread of its own, so that a call that hangs on a
+ * stopped leader delays no other. (The client's asynchronous calls stay with a member that is gone until their retries are
+ * used up.) After a failure the client is replaced by one that knows the current members.
+ */
+final class RaftCalls implements Closeable {
+    /** Minimum time between the creation of a client and its replacement. */
+    private static final double MIN_RECREATE_INTERVAL_MS = 1_000;
+
+    /** Creates a client for the members that are currently known; throws if there are none yet. */
+    interface ClientFactory {
+        RaftClient create() throws IOException;
+    }
+
+    /** One blocking call by a client. */
+    interface Call {
+        RaftClientReply execute(RaftClient client) throws IOException;
+    }
+
+    private final ClientFactory clientFactory;
+    private final long timeoutMs;
+    private final ExecutorService callThreads;
+    /** The only thread that reads and replaces the client. */
+    private final ScheduledExecutorService clientThread;
+
+    private final Executor loop;
+    private RaftClient client;
+    private double clientCreatedAtMs;
+
+    /** Allows {@code maxConcurrent} calls at once, each with the given timeout; results are delivered on the event loop. */
+    RaftCalls(
+            ClientFactory clientFactory,
+            int maxConcurrent,
+            long timeoutMs,
+            ThreadFactory threadFactory,
+            Executor loop) {
+        this.clientFactory = clientFactory;
+        this.timeoutMs = timeoutMs;
+        this.callThreads = Executors.newFixedThreadPool(maxConcurrent, threadFactory);
+        this.clientThread = Executors.newSingleThreadScheduledExecutor(threadFactory);
+        this.loop = loop;
+    }
+
+    private static double nowMs() {
+        return System.nanoTime() / 1e6;
+    }
+
+    /** Runs a call, then passes on its reply, or null if there was none or it reports a failure. */
+    void call(Call call, Consumer<RaftClientReply> onReply) {
+        try {
+            clientThread.execute(() -> run(call, onReply));
+        } catch (RejectedExecutionException e) {
+            loop.execute(() -> onReply.accept(null)); // closed in the meantime
+        }
+    }
+
+    private void run(Call call, Consumer<RaftClientReply> onReply) {
+        RaftClient current = client;
+        try {
+            if (current == null) {
+                current = clientFactory.create();
+                client = current;
+                clientCreatedAtMs = nowMs();
+            }
+            RaftClient usedClient = current;
+            CompletableFuture.supplyAsync(
+                            () -> {
+                                try {
+                                    return call.execute(usedClient);
+                                } catch (IOException x) {
+                                    throw new CompletionException(x);
+                                }
+                            },
+                            callThreads)
+                    .orTimeout(timeoutMs, TimeUnit.MILLISECONDS)
+                    .whenComplete((reply, failure) -> {
+                        if (failure != null) {
+                            discardClient(usedClient);
+                        }
+                        loop.execute(() -> onReply.accept(failure != null || !reply.isSuccess() ? null : reply));
+                    });
+        } catch (IOException | RuntimeException e) {
+            discardClient(current);
+            loop.execute(() -> onReply.accept(null));
+        }
+    }
+
+    /**
+     * Replaces a client after a failure. It is closed only when the other calls made through it have timed out, because a
+     * closed client never completes them.
+     */
+    private void discardClient(RaftClient failedClient) {
+        try {
+            clientThread.execute(() -> {
+                if (client == failedClient
+                        && failedClient != null
+                        && nowMs() - clientCreatedAtMs > MIN_RECREATE_INTERVAL_MS) {
+                    client = null;
+                    clientThread.schedule(() -> closeQuietly(failedClient), timeoutMs, TimeUnit.MILLISECONDS);
+                }
+            });
+        } catch (RejectedExecutionException e) {
+            // closed in the meantime, and the client with it
+        }
+    }
+
+    private static void closeQuietly(RaftClient raftClient) {
+        try {
+            raftClient.close();
+        } catch (IOException | RuntimeException e) {
+            // the client is abandoned either way
+        }
+    }
+
+    /** Closes the client without waiting for open calls. */
+    @Override
+    public void close() {
+        clientThread.execute(() -> {
+            if (client != null) {
+                closeQuietly(client);
+            }
+        });
+        clientThread.shutdown();
+        callThreads.shutdown();
+    }
+}
--- a/src/test/java/plumpost/cli/FullDescriptorsIT.java
+++ b/src/test/java/plumpost/cli/FullDescriptorsIT.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import plumpost.Scenario;
 
-/** A process whose system lets it open no more descriptors than its settings say, while idle clients take all they get. */
+/** Tests a process at its descriptor limit, while idle clients open as many connections as they can. */
 class FullDescriptorsIT {
     private static final int DESCRIPTORS = 256;
     private static final int IDLE_CLIENTS = 400;
@@ -28,36 +28,36 @@
     @TempDir
     private Path folder;
 
-    /** A listener of the test's own; each connection gets a thread. */
-    private static final class Stand implements Closeable {
+    /** A stub server with a thread for each connection. */
+    private static final class StubServer implements Closeable {
         private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
-        interface Answer {
-            void to(Socket caller) throws IOException;
+        interface Responder {
+            void respond(Socket client) throws IOException;
         }
 
-        Stand(Answer answer) throws IOException {
-            Thread accepts = new Thread(() -> {
+        StubServer(Responder responder) throws IOException {
+            Thread acceptor = new Thread(() -> {
                 while (!socket.isClosed()) {
                     try {
-                        Socket caller = socket.accept();
-                        Thread serves = new Thread(() -> serve(answer, caller));
-                        serves.setDaemon(true);
-                        serves.start();
+                        Socket client = socket.accept();
+                        Thread handler = new Thread(() -> serve(responder, client));
+                        handler.setDaemon(true);
+                        handler.start();
                     } catch (IOException e) {
                         return;
                     }
                 }
             });
-            accepts.setDaemon(true);
-            accepts.start();
+            acceptor.setDaemon(true);
+            acceptor.start();
         }
 
-        private static void serve(Answer answer, Socket caller) {
+        private static void serve(Responder responder, Socket client) {
             try {
-                answer.to(caller);
+                responder.respond(client);
             } catch (IOException e) {
-                // The scheduler has closed its end, which it may at any time.
+                // The scheduler may close its end at any time.
                 return;
             }
         }
@@ -68,21 +68,21 @@
         }
     }
 
-    private static String read(Socket from) throws IOException {
+    private static String readOnce(Socket socket) throws IOException {
         byte[] bytes = new byte[4096];
-        int n = from.getInputStream().read(bytes);
-        return n < 0 ? "" : new String(bytes, 0, n, StandardCharsets.US_ASCII);
+        int length = socket.getInputStream().read(bytes);
+        return length < 0 ? "" : new String(bytes, 0, length, StandardCharsets.US_ASCII);
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String ask(int port, String request) throws IOException {
-        try (Socket caller = new Socket("127.0.0.1", port)) {
-            caller.setSoTimeout(10_000);
-            write(caller, request);
-            return read(caller);
+        try (Socket client = new Socket("127.0.0.1", port)) {
+            client.setSoTimeout(10_000);
+            write(client, request);
+            return readOnce(client);
         }
     }
 
@@ -90,39 +90,39 @@
         return Integer.parseInt(ready.replaceAll(".* " + front + " /127.0.0.1:([0-9]+).*", "$1"));
     }
 
-    /** Guards descriptors: the call for the list, an attempt and an operator's call get theirs, whoever idles. */
+    /** Idle clients leave enough descriptors for the request to discovery, an attempt and an operator's call. */
     @Test
     @Timeout(90)
     void idleClientsLeaveDescriptorsForEverythingElse() throws Exception {
         CountDownLatch calledWhileFull = new CountDownLatch(3);
         CountDownLatch full = new CountDownLatch(1);
-        CountDownLatch up = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
-        Stand node = new Stand(caller -> {
-            read(caller);
+        CountDownLatch discoveryUp = new CountDownLatch(1);
+        CountDownLatch listSent = new CountDownLatch(1);
+        StubServer node = new StubServer(connection -> {
+            readOnce(connection);
             write(
-                    caller,
+                    connection,
                     "HTTP/1.1 200 OK\r\nContent-Length: 46\r\n\r\n{\"id\":\"job\",\"state\":\"done\",\"result\":\"washed\"}\n");
-            read(caller);
+            readOnce(connection);
         });
         String host = "{\"host\":\"n1\",\"dial\":\"127.0.0.1:" + node.socket.getLocalPort()
                 + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
-        Stand discovery = new Stand(caller -> {
-            read(caller);
+        StubServer discovery = new StubServer(connection -> {
+            readOnce(connection);
             if (full.getCount() == 0) {
                 calledWhileFull.countDown();
             }
-            if (up.getCount() > 0) {
-                caller.close(); // down
+            if (discoveryUp.getCount() > 0) {
+                connection.close(); // discovery is down
                 return;
             }
             String list = "{\"seq\":2,\"whole\":true,\"hosts\":[" + host + "]}\n";
             write(
-                    caller,
+                    connection,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
                             + "\r\n" + list + "\r\n");
-            told.countDown();
-            read(caller);
+            listSent.countDown();
+            readOnce(connection);
         });
         Path file = Files.writeString(
                 folder.resolve("c.json"),
@@ -139,11 +139,11 @@
                 file.toString());
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         builder.environment().put("TMPDIR", folder.toString());
-        Process served = builder.start();
+        Process process = builder.start();
         List<Socket> idle = new ArrayList<>();
         try (node;
                 discovery;
-                BufferedReader log = served.errorReader()) {
+                BufferedReader log = process.errorReader()) {
             String ready =
                     log.lines().filter(l -> l.contains("ready,")).findFirst().orElseThrow();
             for (int i = 0; i < IDLE_CLIENTS; i++) {
@@ -155,18 +155,20 @@
             assertThat(calledWhileFull.await(20, TimeUnit.SECONDS))
                     .as("calls for the list while clients hold all")
                     .isTrue();
-            String operators = "GET /control/counters HTTP/1.1\r\nHost: h\r\n\r\n";
-            assertThat(ask(port(ready, "control"), operators)).startsWith("HTTP/1.1 200 ");
-            up.countDown();
-            assertThat(told.await(20, TimeUnit.SECONDS)).as("the list was told").isTrue();
+            String countersCall = "GET /control/counters HTTP/1.1\r\nHost: h\r\n\r\n";
+            assertThat(ask(port(ready, "control"), countersCall)).startsWith("HTTP/1.1 200 ");
+            discoveryUp.countDown();
+            assertThat(listSent.await(20, TimeUnit.SECONDS))
+                    .as("the list was told")
+                    .isTrue();
             assertThat(ask(
                             port(ready, "http"),
                             "POST /route-plan HTTP/1.1\r\nHost: h\r\nX-Txn: job\r\nContent-Length: 1\r\n\r\nx"))
                     .startsWith("HTTP/1.1 200 ")
                     .endsWith("washed");
-            assertThat(ask(port(ready, "control"), operators)).startsWith("HTTP/1.1 200 ");
+            assertThat(ask(port(ready, "control"), countersCall)).startsWith("HTTP/1.1 200 ");
         } finally {
-            served.destroyForcibly();
+            process.destroyForcibly();
             for (Socket client : idle) {
                 client.close();
             }
--- a/src/test/java/plumpost/cli/MainTest.java
+++ b/src/test/java/plumpost/cli/MainTest.java
@@ -17,7 +17,7 @@
 import plumpost.config.NodeConfig;
 import plumpost.platform.WarmUp;
 
-/** The command line and the configuration behind it. */
+/** Tests the command line and the configuration that it reads. */
 class MainTest {
     private static final Path SAMPLE = Path.of("deploy/gearman.json");
 
@@ -34,17 +34,17 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    /** Guards that a bad command line is one line on standard error and exit code 2. */
+    /** A bad command line prints one line on standard error and returns 2. */
     @ParameterizedTest
     @ValueSource(strings = {"", "fly", "serve --wings", "serve now", "check", "check --config /nowhere", "serve -c"})
-    void badArgumentsEndWithOneLine(String line) throws IOException {
+    void badArgumentsPrintOneLineAndReturn2(String line) throws IOException {
         assertThat(run(line.isEmpty() ? new String[0] : line.split(" "))).isEqualTo(2);
         assertThat(err.toString(StandardCharsets.UTF_8))
                 .startsWith("plumpost: ")
                 .hasLineCount(1);
     }
 
-    /** Guards that each fault of a configuration is named in one line; an empty word stands for the file as it is. */
+    /** Each fault of a configuration is named in one line; {@code old} is replaced by {@code replacement} in the sample file. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '~',
@@ -58,30 +58,30 @@
                 "\"plant\": \"plant-1\"~\"plant\": \"x\"~gearman.plant",
                 "\"effect\": \"free\"~\"effect\": \"fluid\"~effect"
             })
-    void badConfigurationIsNamed(String old, String now, String said) throws IOException {
-        String text = Files.readString(SAMPLE).replace(old.strip(), now == null ? "" : now);
+    void badConfigurationIsNamedInOneLine(String old, String replacement, String expected) throws IOException {
+        String text = Files.readString(SAMPLE).replace(old.strip(), replacement == null ? "" : replacement);
         Path file = Files.writeString(folder.resolve("c.json"), text);
         assertThat(run("check", "--config", file.toString())).isEqualTo(2);
-        assertThat(err.toString(StandardCharsets.UTF_8)).contains(said).hasLineCount(1);
+        assertThat(err.toString(StandardCharsets.UTF_8)).contains(expected).hasLineCount(1);
     }
 
-    /** Guards the run at build from which the class archive is made: it serves a request and ends by itself. */
+    /** The command rehearse, from which the build makes the class archive, serves a request and ends by itself. */
     @Test
     @Timeout(20)
-    void theWarmUpServesAndEnds() throws IOException {
+    void rehearseServesARequestAndEnds() throws IOException {
         assertThat(run("rehearse", "-c", SAMPLE.toString())).isZero();
     }
 
-    /** Guards the module's picture of the fleet: an order that waits for its connection's proof still starts promptly. */
+    /** The granularity includes the delay of links, so that an order whose connection is being verified still counts as prompt. */
     @Test
-    void theModuleKnowsThatLinksTakeTime() {
+    void granularityIncludesTheLinkDelay() {
         NodeConfig config = NodeConfig.read(SAMPLE, java.util.Map.of());
         assertThat(config.settings().granularityMs()).isEqualTo(config.raw().number("granularityMs") + 2.5);
     }
 
-    /** Guards the operator's file in the repository, and that the warm-up serves all its jobs by it. */
+    /** The sample configuration in the repository is valid, and the warm-up serves all its jobs with it. */
     @Test
-    void theOperatorsFileIsInOrder() throws IOException {
+    void theSampleConfigurationIsValid() throws IOException {
         assertThat(run("check", "-c", SAMPLE.toString())).isZero();
         assertThat(run("version")).isZero();
         assertThat(WarmUp.play(NodeConfig.read(SAMPLE, java.util.Map.of()))).isEqualTo(20);
--- a/src/test/java/plumpost/config/FleetSettingsTest.java
+++ b/src/test/java/plumpost/config/FleetSettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumpost.decision.Dispatcher;
 
-/** Settings that say how large the fleet is: what is absent has a stated meaning, nonsense is refused by name. */
+/** Tests the settings on the size of the fleet: absent ones have defined defaults, invalid ones are rejected by name. */
 class FleetSettingsTest {
     private static Dispatcher.Settings settings(String fleet) {
         String file = """
@@ -23,15 +23,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "-14"})
-    void noSchedulersAtAllIsRefused(String balancers) {
+    void fewerThanOneSchedulerIsRefused(String balancers) {
         assertThatThrownBy(() -> settings("\"balancers\":" + balancers + ","))
                 .isInstanceOf(Json.BadInput.class)
                 .hasMessageContaining("balancers must be at least 1");
     }
 
-    /** Alone, in one plant of one model, no rule for cold nodes: what a file means that says nothing of the fleet. */
+    /** Without settings on the fleet there is one scheduler, one plant, one model and no rule for cold nodes. */
     @Test
-    void aFileThatSaysNothingOfTheFleetMeansOneScheduler() {
+    void withoutFleetSettingsThereIsOneScheduler() {
         Dispatcher.Settings alone = settings("");
         assertThat(alone.balancers()).isEqualTo(1);
         assertThat(alone.zones()).isEqualTo(1);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void noPlantsNamedMeansOnePlant() {
+    void withoutPlantNamesThereIsOnePlant() {
         assertThat(settings("\"balancers\":100,\"dcs\":[],\"shapes\":[],").zones())
                 .isEqualTo(1);
     }
--- a/src/test/java/plumpost/config/PeersConfigTest.java
+++ b/src/test/java/plumpost/config/PeersConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import plumpost.config.Json.BadInput;
 
-/** The section {@code peers}: what is wrong with it is told with field and value. */
+/** Tests the section {@code peers}: faults are reported with field and value. */
 class PeersConfigTest {
     private static final String GOOD = "{\"group\":\"g\",\"data\":\"d\",\"members\":[{\"name\":\"a\",\"address\":"
             + "\"127.0.0.1:1\",\"site\":\"n\",\"vote\":true},{\"name\":\"b\",\"address\":\"127.0.0.1:2\"}]}";
@@ -20,22 +20,22 @@
     }
 
     @Test
-    void theUsualValuesHold() {
-        PeersConfig c = read(GOOD);
-        assertThat(c.lostMs()).isEqualTo(1500);
-        assertThat(c.covered().classes())
-                .as("nothing is covered unless the file says so")
+    void defaultsApplyWhereNothingIsGiven() {
+        PeersConfig config = read(GOOD);
+        assertThat(config.lostMs()).isEqualTo(1500);
+        assertThat(config.covered().classes())
+                .as("no class is covered by default")
                 .isEmpty();
-        assertThat(c.self().vote()).isTrue();
-        assertThat(c.voters()).extracting(PeersConfig.Member::name).containsExactly("a");
+        assertThat(config.self().vote()).isTrue();
+        assertThat(config.voters()).extracting(PeersConfig.Member::name).containsExactly("a");
         assertThat(PeersConfig.read(Json.object("peers", GOOD.getBytes(StandardCharsets.UTF_8)), "b", "/x", true)
                         .data())
                 .isEqualTo(Path.of("/x"));
     }
 
-    /** Guards large fleets: 1,024 members are taken, and one more is told. */
+    /** A fleet of 1,024 members is accepted, and one of 1,025 is rejected. */
     @Test
-    void aThousandMembersAreTaken() {
+    void upTo1024MembersAreAccepted() {
         StringBuilder more = new StringBuilder();
         for (int i = 3; i <= 1024; i++) {
             more.append(",{\"name\":\"m")
@@ -66,9 +66,9 @@
                 "\"group\"|\"awaitMs\":9,\"group\"|field awaitMs is 9, not from 100 to 3600000",
                 "\"group\"|\"gruop\"|field gruop is not a setting"
             })
-    void whatIsWrongIsTold(String from, String to, String words) {
+    void faultsAreReportedWithFieldAndValue(String from, String to, String message) {
         assertThatThrownBy(() -> read(GOOD.replace(from, to)))
                 .isInstanceOf(BadInput.class)
-                .hasMessageContaining(words);
+                .hasMessageContaining(message);
     }
 }
--- a/src/test/java/plumpost/config/SighupFilesTest.java
+++ b/src/test/java/plumpost/config/SighupFilesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files read at SIGHUP: each kind of broken one is turned down whole, with a word that names what is wrong. */
+/** Tests files read at SIGHUP: a broken one is rejected as a whole, with a message that names the fault. */
 class SighupFilesTest {
     private static final String GOOD = """
         {"name":"n0","listen":"127.0.0.1:8000","ops":"127.0.0.1:9600","limits":{"memory_mb":144,"sockets":384},
@@ -23,19 +23,19 @@
         return Json.object("configuration", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Guards the good case: new classes and fewer attempts are taken. */
+    /** New classes and a lower number of attempts are applied. */
     @Test
-    void aGoodFileIsTaken() {
-        String next = GOOD.replace("\"maxAttempts\":6", "\"maxAttempts\":2")
+    void aGoodFileIsApplied() {
+        String changed = GOOD.replace("\"maxAttempts\":6", "\"maxAttempts\":2")
                 .replace(
                         "]",
                         ",{\"name\":\"route-plan-r2\",\"sloMs\":600.0,\"deadlineMs\":8000.0,\"effect\":\"single_shot\"}]");
-        NodeConfig c = NodeConfig.again(json(GOOD), json(next), Map.of());
-        assertThat(c.settings().classes()).hasSize(3);
-        assertThat(c.settings().limits().maxAttempts()).isEqualTo(2);
+        NodeConfig config = NodeConfig.reload(json(GOOD), json(changed), Map.of());
+        assertThat(config.settings().classes()).hasSize(3);
+        assertThat(config.settings().limits().maxAttempts()).isEqualTo(2);
     }
 
-    /** Guards the old settings against each kind of broken file: nothing of it is taken, the word names the fault. */
+    /** Each kind of broken file is rejected as a whole, and the message names the fault. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -50,19 +50,19 @@
                 "\"maxAttempts\":6=\"maxAttempts\":0                     | maxAttempts must be at least 1",
                 "\"maxAttempts\":6=\"maxAttempts\":-2                    | maxAttempts must be at least 1",
             })
-    void aBrokenFileIsTurnedDown(String change, String word) {
+    void aBrokenFileIsRejected(String change, String message) {
         String broken;
         if (change == null) {
             broken = "";
         } else if (!change.contains("=")) {
             broken = change;
         } else {
-            String[] p = change.split("=", 2);
-            broken = GOOD.replace(p[0], p[1]);
+            String[] parts = change.split("=", 2);
+            broken = GOOD.replace(parts[0], parts[1]);
             assertThat(broken).isNotEqualTo(GOOD);
         }
-        assertThatThrownBy(() -> NodeConfig.again(json(GOOD), json(broken), Map.of()))
+        assertThatThrownBy(() -> NodeConfig.reload(json(GOOD), json(broken), Map.of()))
                 .isInstanceOf(Json.BadInput.class)
-                .hasMessageContaining(word.strip());
+                .hasMessageContaining(message.strip());
     }
 }
