--- a/src/main/java/plumpost/gearman/ClientSession.java
+++ b/src/main/java/plumpost/gearman/ClientSession.java
@@ -19,62 +19,62 @@
 
 /** A client's side of a connection: what it submits, asks and is told. */
 final class ClientSession {
-    private static final int UNIQUE_LIMIT = 1024;
-    private static final int MOST_HELD = 256;
+    private static final int MAX_UNIQUE_LENGTH = 1024;
+    private static final int MAX_DEFERRED_PACKETS = 256;
 
-    private final GearmanFront door;
-    private final GearmanConnection caller;
-    private final Set<Submission> waiting = new LinkedHashSet<>();
-    private int background;
+    private final GearmanFront front;
+    private final GearmanConnection connection;
+    private final Set<Submission> awaited = new LinkedHashSet<>();
+    private int openBackgroundJobs;
     private boolean exceptions;
-    private boolean asking;
-    private final ArrayDeque<Packet> held = new ArrayDeque<>(0);
+    private boolean awaitingFleet;
+    private final ArrayDeque<Packet> deferredPackets = new ArrayDeque<>(0);
 
-    ClientSession(GearmanFront door, GearmanConnection caller) {
-        this.door = door;
-        this.caller = caller;
+    ClientSession(GearmanFront front, GearmanConnection connection) {
+        this.front = front;
+        this.connection = connection;
     }
 
     /** Answers come in the order of the questions: what follows a job that the fleet is asked about waits for it. */
-    void packet(Packet p) {
-        if (!asking) {
-            take(p);
-        } else if (held.size() < MOST_HELD) {
-            held.add(p);
+    void onPacket(Packet packet) {
+        if (!awaitingFleet) {
+            process(packet);
+        } else if (deferredPackets.size() < MAX_DEFERRED_PACKETS) {
+            deferredPackets.add(packet);
         } else {
-            not("busy", "more than " + MOST_HELD + " packets while the fleet is asked");
+            reject("busy", "more than " + MAX_DEFERRED_PACKETS + " packets while the fleet is asked");
         }
     }
 
     /** Reads what has come from the client: it may have left. */
-    void look() {
-        caller.look();
+    void readAvailable() {
+        connection.readAvailable();
     }
 
-    private void take(Packet p) {
-        switch (p.type()) {
-            case SUBMIT_JOB -> submit(p, 2, null, 0, false);
-            case SUBMIT_JOB_HIGH -> submit(p, 2, null, 1, false);
-            case SUBMIT_JOB_LOW -> submit(p, 2, null, -1, false);
-            case SUBMIT_JOB_BG -> submit(p, 2, null, 0, true);
-            case SUBMIT_JOB_HIGH_BG -> submit(p, 2, null, 1, true);
-            case SUBMIT_JOB_LOW_BG -> submit(p, 2, null, -1, true);
-            case SUBMIT_REDUCE_JOB -> submit(p, 3, p.text(2), 0, false);
-            case SUBMIT_REDUCE_JOB_BACKGROUND -> submit(p, 3, p.text(2), 0, true);
-            case SUBMIT_JOB_EPOCH -> epoch(p);
-            case SUBMIT_JOB_SCHED -> sched(p);
-            case GET_STATUS -> status(p);
-            case GET_STATUS_UNIQUE -> statusUnique(p);
-            default -> option(p);
+    private void process(Packet packet) {
+        switch (packet.type()) {
+            case SUBMIT_JOB -> submit(packet, 2, null, 0, false);
+            case SUBMIT_JOB_HIGH -> submit(packet, 2, null, 1, false);
+            case SUBMIT_JOB_LOW -> submit(packet, 2, null, -1, false);
+            case SUBMIT_JOB_BG -> submit(packet, 2, null, 0, true);
+            case SUBMIT_JOB_HIGH_BG -> submit(packet, 2, null, 1, true);
+            case SUBMIT_JOB_LOW_BG -> submit(packet, 2, null, -1, true);
+            case SUBMIT_REDUCE_JOB -> submit(packet, 3, packet.text(2), 0, false);
+            case SUBMIT_REDUCE_JOB_BACKGROUND -> submit(packet, 3, packet.text(2), 0, true);
+            case SUBMIT_JOB_EPOCH -> submitAtEpoch(packet);
+            case SUBMIT_JOB_SCHED -> submitAtCalendarTime(packet);
+            case GET_STATUS -> writeStatus(packet);
+            case GET_STATUS_UNIQUE -> writeStatusByUnique(packet);
+            default -> setOption(packet);
         }
     }
 
-    private void option(Packet p) {
-        if (p.text(0).equals("exceptions")) {
+    private void setOption(Packet packet) {
+        if (packet.text(0).equals("exceptions")) {
             exceptions = true;
-            caller.write(Type.OPTION_RES, "exceptions");
+            connection.write(Type.OPTION_RES, "exceptions");
         } else {
-            caller.write(Type.ERROR, "unknown_option", p.text(0));
+            connection.write(Type.ERROR, "unknown_option", packet.text(0));
         }
     }
 
@@ -82,306 +82,327 @@
         return exceptions;
     }
 
-    private void status(Packet p) {
-        Ledger.Known k = door.orders == null ? null : door.orders.known(p.text(0));
-        if (k != null) {
-            caller.write(
+    private void writeStatus(Packet packet) {
+        Ledger.Known order = front.fleetOrders == null ? null : front.fleetOrders.find(packet.text(0));
+        if (order != null) {
+            connection.write(
                     Type.STATUS_RES,
-                    p.parts().get(0),
-                    k.ended() ? 0 : 1,
-                    k.stage() == Ledger.Stage.OUT ? 1 : 0,
-                    Math.round(door.orders.share(k.id()) * 100),
+                    packet.parts().get(0),
+                    order.ended() ? 0 : 1,
+                    order.stage() == Ledger.Stage.OUT ? 1 : 0,
+                    Math.round(front.fleetOrders.progressOf(order.id()) * 100),
                     100);
             return;
         }
-        String id = door.id(p.text(0));
-        OpenJob e = door.room.entry(id);
-        if (e == null && door.schedule.of(id) != null) {
-            caller.write(Type.STATUS_RES, p.parts().get(0), 1, 0, 0, 0);
+        String id = front.jobId(packet.text(0));
+        OpenJob openJob = front.core.entry(id);
+        if (openJob == null && front.schedule.find(id) != null) {
+            connection.write(Type.STATUS_RES, packet.parts().get(0), 1, 0, 0, 0);
             return;
         }
-        if (e == null && door.fleet != null && door.fleet.fleet().planned(p.text(0)) != null) {
-            caller.write(
-                    Type.STATUS_RES, p.parts().get(0), 1, door.fleet.fleet().fired(p.text(0)) ? 1 : 0, 0, 0);
+        if (openJob == null
+                && front.fleetJobs != null
+                && front.fleetJobs.fleet().planned(packet.text(0)) != null) {
+            connection.write(
+                    Type.STATUS_RES,
+                    packet.parts().get(0),
+                    1,
+                    front.fleetJobs.fleet().fired(packet.text(0)) ? 1 : 0,
+                    0,
+                    0);
             return;
         }
-        boolean running = e != null && e.running();
-        caller.write(
+        boolean running = openJob != null && openJob.running();
+        connection.write(
                 Type.STATUS_RES,
-                p.parts().get(0),
-                e == null ? 0 : 1,
+                packet.parts().get(0),
+                openJob == null ? 0 : 1,
                 running ? 1 : 0,
-                e == null ? 0 : Math.round(e.share() * 100),
-                e == null ? 0 : 100);
+                openJob == null ? 0 : Math.round(openJob.share() * 100),
+                openJob == null ? 0 : 100);
     }
 
-    private void statusUnique(Packet p) {
-        OpenJob e = null;
-        boolean later = false;
-        for (Function f : door.functions.all()) {
-            String key = key(f, p.text(0));
-            e = e == null ? door.room.entryOf(key) : e;
-            later |= door.schedule.ofUnique(key) != null
-                    || door.fleet != null && door.fleet.fleet().planned(f.name, p.text(0)) != null;
+    private void writeStatusByUnique(Packet packet) {
+        OpenJob openJob = null;
+        boolean scheduled = false;
+        for (Function function : front.functions.functions()) {
+            String key = uniqueKey(function, packet.text(0));
+            openJob = openJob == null ? front.core.entryOf(key) : openJob;
+            scheduled |= front.schedule.findByUnique(key) != null
+                    || front.fleetJobs != null
+                            && front.fleetJobs.fleet().planned(function.name, packet.text(0)) != null;
         }
-        for (Function f : door.orders == null ? List.<Function>of() : door.functions.all()) {
-            Ledger.Known k = door.orders.known(f.name, p.text(0));
-            if (k != null) {
-                caller.write(
+        for (Function function : front.fleetOrders == null ? List.<Function>of() : front.functions.functions()) {
+            Ledger.Known order = front.fleetOrders.find(function.name, packet.text(0));
+            if (order != null) {
+                connection.write(
                         Type.STATUS_RES_UNIQUE,
-                        p.parts().get(0),
-                        k.ended() ? 0 : 1,
-                        k.stage() == Ledger.Stage.OUT ? 1 : 0,
-                        Math.round(door.orders.share(k.id()) * 100),
+                        packet.parts().get(0),
+                        order.ended() ? 0 : 1,
+                        order.stage() == Ledger.Stage.OUT ? 1 : 0,
+                        Math.round(front.fleetOrders.progressOf(order.id()) * 100),
                         100,
                         0);
                 return;
             }
         }
-        boolean running = e != null && e.running();
-        caller.write(
+        boolean running = openJob != null && openJob.running();
+        connection.write(
                 Type.STATUS_RES_UNIQUE,
-                p.parts().get(0),
-                e == null && !later ? 0 : 1,
+                packet.parts().get(0),
+                openJob == null && !scheduled ? 0 : 1,
                 running ? 1 : 0,
-                e == null ? 0 : Math.round(e.share() * 100),
-                e == null ? 0 : 100,
-                e == null ? 0 : e.clients());
+                openJob == null ? 0 : Math.round(openJob.share() * 100),
+                openJob == null ? 0 : 100,
+                openJob == null ? 0 : openJob.clients());
     }
 
-    static String key(Function f, String unique) {
-        return f.name + '\0' + unique;
+    static String uniqueKey(Function function, String unique) {
+        return function.name + '\0' + unique;
     }
 
     // ---- submitting ----
 
     /** Says why a job is not taken; the connection goes on. */
-    private void not(String code, String words) {
-        door.kit.counters().count("gearman.not." + code);
-        caller.write(Type.ERROR, code, words);
+    private void reject(String code, String message) {
+        front.context.counters().count("gearman.not." + code);
+        connection.write(Type.ERROR, code, message);
     }
 
     /** The job in a packet whose data is the given argument, or null where it is not taken and that was said. */
-    private JobRequest sheet(Packet p, int dataAt, String reducer, int priority, boolean inBackground) {
-        String name = p.text(0);
-        Function f = door.functions.find(name);
-        if (f == null) {
-            if (door.functions.full()) {
-                not("functions", name + ": limits.functions " + door.functions.limit() + " is used up");
+    private JobRequest newJobRequest(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
+        String name = packet.text(0);
+        Function function = front.functions.findOrAdd(name);
+        if (function == null) {
+            if (front.functions.isFull()) {
+                reject("functions", name + ": limits.functions " + front.functions.maxFunctions() + " is used up");
             } else {
-                not("unknown_function", name);
+                reject("unknown_function", name);
             }
             return null;
         }
-        if (door.stopping()) {
-            not("stopping", "this scheduler takes no more jobs");
+        if (front.stopping()) {
+            reject("stopping", "this scheduler takes no more jobs");
             return null;
         }
-        ByteBuffer data = p.parts().get(dataAt);
-        String unique = p.text(1);
-        if (unique.length() > UNIQUE_LIMIT) {
-            not("unique_too_long", "a unique key of more than " + UNIQUE_LIMIT + " characters");
+        ByteBuffer data = packet.parts().get(dataIndex);
+        String unique = packet.text(1);
+        if (unique.length() > MAX_UNIQUE_LENGTH) {
+            reject("unique_too_long", "a unique key of more than " + MAX_UNIQUE_LENGTH + " characters");
             return null;
         }
-        String said = unique.equals("-") ? digest(data) : unique;
-        double patience = inBackground
-                ? door.config.backgroundMs()
-                : door.set.classes().get(f.cls).deadlineMs();
+        String clientKey = unique.equals("-") ? digestOf(data) : unique;
+        double patienceMs = inBackground
+                ? front.config.backgroundMs()
+                : front.settings.classes().get(function.classIndex).deadlineMs();
         return new JobRequest(
-                door.newId(),
-                f.cls,
+                front.newId(),
+                function.classIndex,
                 null,
                 data,
-                patience,
+                patienceMs,
                 Double.NaN,
                 1,
                 Double.NaN,
                 0,
                 null,
                 false,
-                said.isEmpty() ? null : key(f, said),
+                clientKey.isEmpty() ? null : uniqueKey(function, clientKey),
                 new JobRequest.Work(
-                        f.kind,
-                        f.name,
-                        said.isEmpty() ? null : said,
+                        function.kind,
+                        function.name,
+                        clientKey.isEmpty() ? null : clientKey,
                         reducer,
                         priority,
-                        inBackground ? patience : Double.NaN));
+                        inBackground ? patienceMs : Double.NaN));
     }
 
-    private void submit(Packet p, int dataAt, String reducer, int priority, boolean inBackground) {
-        JobRequest sheet = sheet(p, dataAt, reducer, priority, inBackground);
-        if (sheet == null) {
+    private void submit(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
+        JobRequest request = newJobRequest(packet, dataIndex, reducer, priority, inBackground);
+        if (request == null) {
             return;
         }
-        if (door.orders != null && door.orders.covers(sheet)) {
-            order(sheet, inBackground);
+        if (front.fleetOrders != null && front.fleetOrders.covers(request)) {
+            submitOrder(request, inBackground);
             return;
         }
-        Schedule.Entry later = sheet.unique() == null ? null : door.schedule.ofUnique(sheet.unique());
-        if (later != null && !inBackground) {
+        Schedule.Entry scheduled = request.unique() == null ? null : front.schedule.findByUnique(request.unique());
+        if (scheduled != null && !inBackground) {
             // It is the same job, and neither must it run twice nor before the time that its first client named.
-            not("scheduled", door.handle(later.sheet().id()) + " is to run at " + Math.round(later.atMs() / 1000));
+            reject(
+                    "scheduled",
+                    front.handleOf(scheduled.request().id()) + " is to run at " + Math.round(scheduled.atMs() / 1000));
             return;
         }
-        if (later != null) {
-            caller.write(Type.JOB_CREATED, door.handle(later.sheet().id()));
+        if (scheduled != null) {
+            connection.write(
+                    Type.JOB_CREATED, front.handleOf(scheduled.request().id()));
             return;
         }
-        Fleet.Job planned = door.fleet == null ? null : door.fleet.under(sheet);
-        if (planned != null && (sheet.unique() == null || door.room.entryOf(sheet.unique()) == null)) {
+        Fleet.Job planned = front.fleetJobs == null ? null : front.fleetJobs.findByKey(request);
+        if (planned != null && (request.unique() == null || front.core.entryOf(request.unique()) == null)) {
             if (inBackground) {
-                caller.write(Type.JOB_CREATED, planned.id());
+                connection.write(Type.JOB_CREATED, planned.id());
             } else {
-                not(
+                reject(
                         "scheduled",
                         planned.id()
-                                + (door.fleet.fleet().fired(planned.id())
+                                + (front.fleetJobs.fleet().fired(planned.id())
                                         ? " runs at another scheduler"
                                         : " is to run at " + Math.round(planned.atMs() / 1000)));
             }
             return;
         }
-        boolean joins = sheet.unique() != null
-                && (door.room.entryOf(sheet.unique()) != null || door.room.keeps(sheet.unique()));
-        if (!joins && full(sheet)) {
+        boolean joins = request.unique() != null
+                && (front.core.entryOf(request.unique()) != null || front.core.keeps(request.unique()));
+        if (!joins && rejectIfFull(request)) {
             return;
         }
-        Submission s = new Submission(inBackground ? null : this, door.handle(sheet.id()));
-        waiting.add(s);
-        OpenJob e = door.room.take(sheet, s);
-        if (e != null) {
-            s.handle = door.handle(e.sheet().id());
+        Submission submission = new Submission(inBackground ? null : this, front.handleOf(request.id()));
+        awaited.add(submission);
+        OpenJob openJob = front.core.take(request, submission);
+        if (openJob != null) {
+            submission.handle = front.handleOf(openJob.sheet().id());
         }
-        s.entry = e;
-        s.announce(caller);
-        if (inBackground && waiting.remove(s) && e != null && !s.done()) {
-            background++;
-            s.whenDone(() -> background--);
+        submission.openJob = openJob;
+        submission.announce(connection);
+        if (inBackground && awaited.remove(submission) && openJob != null && !submission.isDone()) {
+            openBackgroundJobs++;
+            submission.whenDone(() -> openBackgroundJobs--);
         }
     }
 
     /** A covered order: the fleet's first, then its client is told; who comes again joins it, or gets its outcome. */
-    private void order(JobRequest sheet, boolean inBackground) {
-        Ledger.Known same = door.orders.known(sheet.work().name(), sheet.work().unique());
-        if (same != null) {
-            created(same.id(), sheet, inBackground);
-        } else if (!full(sheet)) {
-            asking = true;
-            door.orders.take(sheet, inBackground, said -> {
-                asking = false;
-                if (said.agreed()) {
-                    created(said.words(), sheet, inBackground);
+    private void submitOrder(JobRequest request, boolean inBackground) {
+        Ledger.Known existing =
+                front.fleetOrders.find(request.work().name(), request.work().unique());
+        if (existing != null) {
+            joinOrder(existing.id(), request, inBackground);
+        } else if (!rejectIfFull(request)) {
+            awaitingFleet = true;
+            front.fleetOrders.submit(request, inBackground, answer -> {
+                awaitingFleet = false;
+                if (answer.agreed()) {
+                    joinOrder(answer.words(), request, inBackground);
                 } else {
-                    not(said.known() && said.words().contains("full") ? "full" : "fleet", said.words());
+                    reject(answer.known() && answer.words().contains("full") ? "full" : "fleet", answer.words());
                 }
-                goOn();
+                processDeferred();
             });
         }
     }
 
-    private void created(String handle, JobRequest sheet, boolean inBackground) {
-        Submission s = new Submission(inBackground ? null : this, handle);
-        s.announce(caller);
+    private void joinOrder(String handle, JobRequest request, boolean inBackground) {
+        Submission submission = new Submission(inBackground ? null : this, handle);
+        submission.announce(connection);
         if (!inBackground) {
-            waiting.add(s);
-            door.orders.waits(s, sheet.patienceMs());
+            awaited.add(submission);
+            front.fleetOrders.await(submission, request.patienceMs());
         }
     }
 
     /** Takes what came while the fleet was asked. */
-    private void goOn() {
-        while (!asking && !held.isEmpty()) {
-            take(held.poll());
+    private void processDeferred() {
+        while (!awaitingFleet && !deferredPackets.isEmpty()) {
+            process(deferredPackets.poll());
         }
     }
 
     /** Whether a limit is reached; says which. */
-    private boolean full(JobRequest sheet) {
-        Function f = door.functions.of(sheet.work().kind());
-        int most = f.most[1 - sheet.work().priority()];
-        long same = door.room.tally(f.kind).waiting(sheet.work().priority());
-        long waits = same;
-        for (int p = -1; p <= 1; p++) {
-            waits += p == sheet.work().priority() ? 0 : door.room.tally(f.kind).waiting(p);
+    private boolean rejectIfFull(JobRequest request) {
+        Function function = front.functions.get(request.work().kind());
+        int maxQueued = function.maxQueued[1 - request.work().priority()];
+        long waitingAtPriority =
+                front.core.tally(function.kind).waiting(request.work().priority());
+        long waitingInAll = waitingAtPriority;
+        for (int priority = -1; priority <= 1; priority++) {
+            waitingInAll += priority == request.work().priority()
+                    ? 0
+                    : front.core.tally(function.kind).waiting(priority);
         }
-        int perClient = door.config.limits().jobsPerClient();
-        int queue = door.config.limits().queue();
-        if (most > 0 && same >= most) {
-            not("queue_full", "maxqueue of " + f.name + " is " + most);
-        } else if (queue > 0 && waits >= queue) {
-            not("queue_full", f.name + ": limits.queue is " + queue);
-        } else if (waiting.size() + background >= perClient) {
-            not("jobs_per_client", "limits.jobsPerClient is " + perClient);
-        } else if (!door.room.hasRoom(sheet.body().remaining())) {
-            not("full", "limits.openJobs or limits.jobBytes is used up; try again after 1000 ms");
+        int maxPerClient = front.config.limits().jobsPerClient();
+        int maxInQueue = front.config.limits().queue();
+        if (maxQueued > 0 && waitingAtPriority >= maxQueued) {
+            reject("queue_full", "maxqueue of " + function.name + " is " + maxQueued);
+        } else if (maxInQueue > 0 && waitingInAll >= maxInQueue) {
+            reject("queue_full", function.name + ": limits.queue is " + maxInQueue);
+        } else if (awaited.size() + openBackgroundJobs >= maxPerClient) {
+            reject("jobs_per_client", "limits.jobsPerClient is " + maxPerClient);
+        } else if (!front.core.hasRoom(request.body().remaining())) {
+            reject("full", "limits.openJobs or limits.jobBytes is used up; try again after 1000 ms");
         } else {
             return false;
         }
         return true;
     }
 
-    private void epoch(Packet p) {
-        String at = p.text(2);
-        if (!at.matches("[0-9]{1,11}")) {
-            not("bad_time", "epoch is " + clip(at) + ", not seconds");
+    private void submitAtEpoch(Packet packet) {
+        String seconds = packet.text(2);
+        if (!seconds.matches("[0-9]{1,11}")) {
+            reject("bad_time", "epoch is " + truncate(seconds) + ", not seconds");
         } else {
-            later(p, 3, Long.parseLong(at) * 1000.0);
+            submitScheduled(packet, 3, Long.parseLong(seconds) * 1000.0);
         }
     }
 
-    private void sched(Packet p) {
+    private void submitAtCalendarTime(Packet packet) {
         try {
-            later(
-                    p,
+            submitScheduled(
+                    packet,
                     7,
-                    Schedule.next(door.kit.unixTime().nowMs(), p.text(2), p.text(3), p.text(4), p.text(5), p.text(6)));
+                    Schedule.nextTimeMs(
+                            front.context.unixTime().nowMs(),
+                            packet.text(2),
+                            packet.text(3),
+                            packet.text(4),
+                            packet.text(5),
+                            packet.text(6)));
         } catch (IllegalArgumentException | DateTimeException e) {
-            not("bad_time", clip(e.getMessage()));
+            reject("bad_time", truncate(e.getMessage()));
         }
     }
 
-    private static String clip(String text) {
+    private static String truncate(String text) {
         return text.length() > 80 ? text.substring(0, 80) : text;
     }
 
-    private void later(Packet p, int dataAt, double atMs) {
-        JobRequest sheet = sheet(p, dataAt, null, 0, true);
-        if (sheet == null) {
+    private void submitScheduled(Packet packet, int dataIndex, double atMs) {
+        JobRequest request = newJobRequest(packet, dataIndex, null, 0, true);
+        if (request == null) {
             return;
         }
-        OpenJob open = sheet.unique() == null ? null : door.room.entryOf(sheet.unique());
-        Schedule.Entry same = sheet.unique() == null ? null : door.schedule.ofUnique(sheet.unique());
-        String lack = door.schedule.lack(sheet.body().remaining());
-        if (open != null) {
-            caller.write(Type.JOB_CREATED, door.handle(open.sheet().id())); // the same job is open already
-        } else if (same != null) {
-            caller.write(Type.JOB_CREATED, door.handle(same.sheet().id()));
-        } else if (door.fleet != null) {
-            asking = true;
-            door.fleet.plan(sheet, atMs, said -> {
-                asking = false;
-                if (said.agreed()) {
-                    caller.write(Type.JOB_CREATED, said.words());
+        OpenJob openJob = request.unique() == null ? null : front.core.entryOf(request.unique());
+        Schedule.Entry existing = request.unique() == null ? null : front.schedule.findByUnique(request.unique());
+        String exhaustedLimit = front.schedule.exhaustedLimit(request.body().remaining());
+        if (openJob != null) {
+            connection.write(Type.JOB_CREATED, front.handleOf(openJob.sheet().id())); // the same job is open already
+        } else if (existing != null) {
+            connection.write(Type.JOB_CREATED, front.handleOf(existing.request().id()));
+        } else if (front.fleetJobs != null) {
+            awaitingFleet = true;
+            front.fleetJobs.plan(request, atMs, answer -> {
+                awaitingFleet = false;
+                if (answer.agreed()) {
+                    connection.write(Type.JOB_CREATED, answer.words());
                 } else {
-                    not(said.known() ? "schedule_full" : "fleet", said.words());
+                    reject(answer.known() ? "schedule_full" : "fleet", answer.words());
                 }
-                goOn();
+                processDeferred();
             });
-        } else if (lack != null) {
-            not("schedule_full", lack + " is used up");
+        } else if (exhaustedLimit != null) {
+            reject("schedule_full", exhaustedLimit + " is used up");
         } else {
-            door.later(sheet, atMs);
-            caller.write(Type.JOB_CREATED, door.handle(sheet.id()));
+            front.scheduleJob(request, atMs);
+            connection.write(Type.JOB_CREATED, front.handleOf(request.id()));
         }
     }
 
     /** The key {@code -} stands for the data itself; a digest of it takes less room. */
-    private static String digest(ByteBuffer data) {
+    private static String digestOf(ByteBuffer data) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            sha.update(data.duplicate());
-            return "-" + HexFormat.of().formatHex(sha.digest());
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+            sha256.update(data.duplicate());
+            return "-" + HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // every Java has it
         }
@@ -390,20 +411,20 @@
     // ---- what submissions tell ----
 
     void write(Type type, Object... arguments) {
-        caller.write(type, arguments);
+        connection.write(type, arguments);
     }
 
-    void done(Submission s) {
-        waiting.remove(s);
+    void onDone(Submission submission) {
+        awaited.remove(submission);
     }
 
     /** The client has gone: what only it waited for is given up. */
-    void left() {
-        for (Submission s : new ArrayList<>(List.copyOf(waiting))) {
-            if (s.entry != null) {
-                door.room.gone(s.entry, s);
-            } else if (door.orders != null) {
-                door.orders.gone(s);
+    void onDisconnected() {
+        for (Submission submission : new ArrayList<>(List.copyOf(awaited))) {
+            if (submission.openJob != null) {
+                front.core.gone(submission.openJob, submission);
+            } else if (front.fleetOrders != null) {
+                front.fleetOrders.stopWaiting(submission);
             }
         }
     }
--- a/src/main/java/plumpost/gearman/FleetJobs.java
+++ b/src/main/java/plumpost/gearman/FleetJobs.java
@@ -14,13 +14,13 @@
 
 /** Scheduled jobs of a fleet at one front: planned with the others, and run here where the fleet says so. */
 final class FleetJobs {
-    private final GearmanFront door;
+    private final GearmanFront front;
     private final Fleet fleet;
     private final Map<String, OpenJob> running = new HashMap<>();
     private final Map<String, Reply> replies = new HashMap<>();
 
-    FleetJobs(GearmanFront door, Fleet fleet) {
-        this.door = door;
+    FleetJobs(GearmanFront front, Fleet fleet) {
+        this.front = front;
         this.fleet = fleet;
     }
 
@@ -29,68 +29,73 @@
     }
 
     /** Plans a job with the fleet; then says what its client is told. */
-    void plan(JobRequest sheet, double atMs, java.util.function.Consumer<Fleet.Said> then) {
-        byte[] body = new byte[sheet.body().remaining()];
-        sheet.body().duplicate().get(body);
-        String unique = sheet.work().unique();
-        boolean again = door.set.classes().get(sheet.cls()).effect() != Dispatcher.Effect.SINGLE_SHOT;
+    void plan(JobRequest request, double atMs, java.util.function.Consumer<Fleet.Said> onAnswer) {
+        byte[] body = new byte[request.body().remaining()];
+        request.body().duplicate().get(body);
+        String unique = request.work().unique();
+        boolean mayRunTwice = front.settings.classes().get(request.cls()).effect() != Dispatcher.Effect.SINGLE_SHOT;
         fleet.plan(
                 new Fleet.Job(
-                        door.handle(sheet.id()), sheet.work().name(), unique == null ? "" : unique, body, atMs, again),
-                then);
+                        front.handleOf(request.id()),
+                        request.work().name(),
+                        unique == null ? "" : unique,
+                        body,
+                        atMs,
+                        mayRunTwice),
+                onAnswer);
     }
 
     /** The planned job under a function and key, or null. */
-    Fleet.Job under(JobRequest sheet) {
-        return sheet.work().unique() == null
+    Fleet.Job findByKey(JobRequest request) {
+        return request.work().unique() == null
                 ? null
-                : fleet.planned(sheet.work().name(), sheet.work().unique());
+                : fleet.planned(request.work().name(), request.work().unique());
     }
 
     /** Hands a job in that is this scheduler's to run now; false where it cannot be taken. */
     boolean run(Fleet.Job job) {
-        Function f = door.functions.find(job.function());
-        if (f == null || door.stopping() || !door.room.hasRoom(job.body().length)) {
+        Function function = front.functions.findOrAdd(job.function());
+        if (function == null || front.stopping() || !front.core.hasRoom(job.body().length)) {
             return false;
         }
         String unique = job.unique().isEmpty() ? null : job.unique();
-        double patience = door.config.backgroundMs();
-        JobRequest sheet = new JobRequest(
-                door.newId(),
-                f.cls,
+        double patienceMs = front.config.backgroundMs();
+        JobRequest request = new JobRequest(
+                front.newId(),
+                function.classIndex,
                 null,
                 ByteBuffer.wrap(job.body()),
-                patience,
+                patienceMs,
                 Double.NaN,
                 1,
                 Double.NaN,
                 0,
                 null,
                 false,
-                unique == null ? null : ClientSession.key(f, unique),
-                new JobRequest.Work(f.kind, f.name, unique, null, 0, patience));
+                unique == null ? null : ClientSession.uniqueKey(function, unique),
+                new JobRequest.Work(function.kind, function.name, unique, null, 0, patienceMs));
         Reply reply = new Reply(job.id());
-        OpenJob e = door.room.take(sheet, reply);
-        if (e != null && !reply.over) {
-            running.put(job.id(), e);
+        OpenJob openJob = front.core.take(request, reply);
+        if (openJob != null && !reply.ended) {
+            running.put(job.id(), openJob);
             replies.put(job.id(), reply);
         }
         return true;
     }
 
     /** What no worker has is called off; it goes back to the fleet as never seen by anybody. */
-    void callBack(String id) {
-        OpenJob e = running.get(id);
-        if (e != null) {
+    void recall(String id) {
+        OpenJob openJob = running.get(id);
+        if (openJob != null) {
             Reply reply = replies.get(id);
             reply.unstarted = true;
-            reply.unstarted = door.room.callOff(e);
+            reply.unstarted = front.core.callOff(openJob);
         }
     }
 
     /** The scheduler ends: all that no worker has goes back. */
-    void callBackAll() {
-        new ArrayList<>(running.keySet()).forEach(this::callBack);
+    void recallAll() {
+        new ArrayList<>(running.keySet()).forEach(this::recall);
     }
 
     /** Handles of what is planned and over at nobody yet, for the admin's list. */
@@ -102,14 +107,14 @@
     private final class Reply implements ReplyTo {
         private final String id;
         private boolean unstarted;
-        private boolean over;
+        private boolean ended;
 
         Reply(String id) {
             this.id = id;
         }
 
         private void end(boolean neverRan) {
-            over = true;
+            ended = true;
             running.remove(id);
             replies.remove(id);
             fleet.ended(id, neverRan);
--- a/src/main/java/plumpost/gearman/FleetOrders.java
+++ b/src/main/java/plumpost/gearman/FleetOrders.java
@@ -23,105 +23,106 @@
  */
 final class FleetOrders implements Ledger.Holder, LeaseAuthority {
     /** Orders of the fleet in this core at once: more wait where they are, or with nobody. */
-    private static final int MOST_HERE = 256;
+    private static final int MAX_OPEN_ORDERS = 256;
 
-    private static final double AGAIN_MS = 1000;
+    private static final double RETRY_AFTER_MS = 1000;
     /** The core's own word on an order whose time is up has so long to come through the log. */
-    private static final double GRACE_MS = 100;
+    private static final double OUTCOME_GRACE_MS = 100;
 
-    private final GearmanFront door;
+    private final GearmanFront front;
     private final Ledger ledger;
-    private final Map<String, OpenJob> here = new HashMap<>();
+    private final Map<String, OpenJob> openOrders = new HashMap<>();
     private final Map<String, Reply> replies = new HashMap<>();
-    private final Map<String, List<Submission>> waiting = new HashMap<>();
+    private final Map<String, List<Submission>> awaiting = new HashMap<>();
 
-    FleetOrders(GearmanFront door, Ledger ledger) {
-        this.door = door;
+    FleetOrders(GearmanFront front, Ledger ledger) {
+        this.front = front;
         this.ledger = ledger;
         ledger.at(this);
     }
 
-    boolean covers(JobRequest sheet) {
-        return ledger.covers(door.set.classes().get(sheet.cls()).name());
+    boolean covers(JobRequest request) {
+        return ledger.covers(front.settings.classes().get(request.cls()).name());
     }
 
     /** Whether a job of this core is the fleet's, and its id its handle. */
-    boolean has(String id) {
-        return here.containsKey(id);
+    boolean isOpen(String id) {
+        return openOrders.containsKey(id);
     }
 
-    Ledger.Known known(String id) {
+    Ledger.Known find(String id) {
         return ledger.known(id);
     }
 
-    Ledger.Known known(String function, String unique) {
+    Ledger.Known find(String function, String unique) {
         return unique == null ? null : ledger.known(function, unique);
     }
 
     /** The share that is done, where it runs here. */
-    double share(String id) {
-        OpenJob e = here.get(id);
-        return e == null ? 0 : e.share();
+    double progressOf(String id) {
+        OpenJob openJob = openOrders.get(id);
+        return openJob == null ? 0 : openJob.share();
     }
 
     // ---- clients ----
 
     /** Hands an order over to the fleet; then says what its client is told. */
-    void take(JobRequest sheet, boolean background, Consumer<Fleet.Said> then) {
-        byte[] body = new byte[sheet.body().remaining()];
-        sheet.body().duplicate().get(body);
-        String unique = sheet.work().unique();
-        boolean again = door.set.classes().get(sheet.cls()).effect() != Effect.SINGLE_SHOT;
+    void submit(JobRequest request, boolean background, Consumer<Fleet.Said> onAnswer) {
+        byte[] body = new byte[request.body().remaining()];
+        request.body().duplicate().get(body);
+        String unique = request.work().unique();
+        boolean mayRunTwice = front.settings.classes().get(request.cls()).effect() != Effect.SINGLE_SHOT;
         ledger.take(
                 new Ledger.Order(
-                        door.handle(sheet.id()),
-                        sheet.work().name(),
+                        front.handleOf(request.id()),
+                        request.work().name(),
                         unique == null ? "" : unique,
                         body,
-                        sheet.work().priority(),
-                        sheet.patienceMs(),
-                        again,
+                        request.work().priority(),
+                        request.patienceMs(),
+                        mayRunTwice,
                         background),
-                then);
+                onAnswer);
     }
 
     /**
      * A client waits for an order's answer, so long at the most: it gets one, at once where there is one. Where nobody
      * has come to its order by then it is told that it failed; the order goes on, and its outcome is kept.
      */
-    void waits(Submission s, double patienceMs) {
-        Ledger.Known k = ledger.known(s.handle);
-        if (k != null && k.ended()) {
-            answer(s, k);
+    void await(Submission submission, double patienceMs) {
+        Ledger.Known order = ledger.known(submission.handle);
+        if (order != null && order.ended()) {
+            answer(submission, order);
         } else {
-            waiting.computeIfAbsent(s.handle, id -> new ArrayList<>(1)).add(s);
-            door.kit.wheel().at(door.kit.clock().nowMs() + patienceMs + GRACE_MS, () -> {
-                if (gone(s)) {
-                    s.failed();
+            awaiting.computeIfAbsent(submission.handle, id -> new ArrayList<>(1))
+                    .add(submission);
+            front.context.wheel().at(front.context.clock().nowMs() + patienceMs + OUTCOME_GRACE_MS, () -> {
+                if (stopWaiting(submission)) {
+                    submission.failed();
                 }
             });
         }
     }
 
     /** A client that waited does not any more, its order goes on; whether it waited. */
-    boolean gone(Submission s) {
-        List<Submission> all = waiting.get(s.handle);
-        boolean waited = all != null && all.remove(s);
-        if (waited && all.isEmpty()) {
-            waiting.remove(s.handle);
+    boolean stopWaiting(Submission submission) {
+        List<Submission> submissions = awaiting.get(submission.handle);
+        boolean waited = submissions != null && submissions.remove(submission);
+        if (waited && submissions.isEmpty()) {
+            awaiting.remove(submission.handle);
         }
         return waited;
     }
 
-    private static void answer(Submission s, Ledger.Known k) {
-        switch (k.stage()) {
-            case SERVED -> s.served(ByteBuffer.wrap(k.result()));
-            case REFUSED -> s.refused(AGAIN_MS);
+    private static void answer(Submission submission, Ledger.Known order) {
+        switch (order.stage()) {
+            case SERVED -> submission.served(ByteBuffer.wrap(order.result()));
+            case REFUSED -> submission.refused(RETRY_AFTER_MS);
             default -> {
-                if (k.result().length > 0) {
-                    s.failed(ByteBuffer.wrap(k.result()));
+                if (order.result().length > 0) {
+                    submission.failed(ByteBuffer.wrap(order.result()));
                 } else {
-                    s.failed();
+                    submission.failed();
                 }
             }
         }
@@ -130,34 +131,34 @@
     // ---- workers ----
 
     /** A worker reports the end of a job that this core does not have out: it may be an order of the fleet. */
-    void late(String handle, ByteBuffer result) {
+    void reportLateResult(String handle, ByteBuffer result) {
         if (ledger.known(handle) != null) {
-            door.kit.counters().count("gearman.order_heard_late");
-            ledger.told(handle, Ledger.Word.DONE, bytes(result));
+            front.context.counters().count("gearman.order_heard_late");
+            ledger.told(handle, Ledger.Word.DONE, copyOf(result));
         }
     }
 
-    private static byte[] bytes(ByteBuffer b) {
-        byte[] all = new byte[b.remaining()];
-        b.duplicate().get(all);
-        return all;
+    private static byte[] copyOf(ByteBuffer buffer) {
+        byte[] copy = new byte[buffer.remaining()];
+        buffer.duplicate().get(copy);
+        return copy;
     }
 
     // ---- Ledger.Holder ----
 
     @Override
-    public boolean hold(Ledger.Order o) {
-        Function f = door.functions.find(o.function());
-        if (f == null || door.stopping() || !door.room.hasRoom(o.body().length)) {
+    public boolean hold(Ledger.Order order) {
+        Function function = front.functions.findOrAdd(order.function());
+        if (function == null || front.stopping() || !front.core.hasRoom(order.body().length)) {
             return false;
         }
-        String unique = o.unique().isEmpty() ? null : o.unique();
-        JobRequest sheet = new JobRequest(
-                o.id(),
-                f.cls,
+        String unique = order.unique().isEmpty() ? null : order.unique();
+        JobRequest request = new JobRequest(
+                order.id(),
+                function.classIndex,
                 null,
-                ByteBuffer.wrap(o.body()),
-                o.patienceMs(),
+                ByteBuffer.wrap(order.body()),
+                order.patienceMs(),
                 Double.NaN,
                 1,
                 Double.NaN,
@@ -166,57 +167,62 @@
                 false,
                 null,
                 new JobRequest.Work(
-                        f.kind, f.name, unique, null, o.priority(), o.background() ? o.patienceMs() : Double.NaN));
-        Reply reply = new Reply(o.id(), o.background());
-        replies.put(o.id(), reply);
-        OpenJob e = door.room.take(sheet, reply, this);
-        if (e != null && !reply.over) {
-            here.put(o.id(), e);
+                        function.kind,
+                        function.name,
+                        unique,
+                        null,
+                        order.priority(),
+                        order.background() ? order.patienceMs() : Double.NaN));
+        Reply reply = new Reply(order.id(), order.background());
+        replies.put(order.id(), reply);
+        OpenJob openJob = front.core.take(request, reply, this);
+        if (openJob != null && !reply.ended) {
+            openOrders.put(order.id(), openJob);
         }
         return true;
     }
 
     @Override
     public void drop(String id) {
-        OpenJob e = here.get(id);
-        if (e != null) {
+        OpenJob openJob = openOrders.get(id);
+        if (openJob != null) {
             replies.get(id).silent = true;
-            door.room.callOff(e);
+            front.core.callOff(openJob);
         }
     }
 
     @Override
-    public void ended(Ledger.Known k) {
-        List<Submission> all = waiting.remove(k.id());
-        if (all != null) {
-            all.forEach(s -> answer(s, k));
+    public void ended(Ledger.Known order) {
+        List<Submission> submissions = awaiting.remove(order.id());
+        if (submissions != null) {
+            submissions.forEach(submission -> answer(submission, order));
         }
     }
 
     @Override
     public int room() {
-        return door.stopping() ? 0 : MOST_HERE - here.size();
+        return front.stopping() ? 0 : MAX_OPEN_ORDERS - openOrders.size();
     }
 
     // ---- LeaseAuthority ----
 
     @Override
-    public void ask(Attempt a, Consumer<Boolean> then) {
-        ledger.lease(a.sheet().id(), then);
+    public void ask(Attempt attempt, Consumer<Boolean> onGranted) {
+        ledger.lease(attempt.sheet().id(), onGranted);
     }
 
     @Override
-    public void unused(Attempt a) {
-        ledger.told(a.sheet().id(), Ledger.Word.HANDED_BACK, new byte[0]);
+    public void unused(Attempt attempt) {
+        ledger.told(attempt.sheet().id(), Ledger.Word.HANDED_BACK, new byte[0]);
     }
 
     /** What no worker has seen is tried again here; what may have run only where it may run twice. */
     @Override
-    public void ended(Attempt a, boolean neverRan) {
+    public void ended(Attempt attempt, boolean neverRan) {
         if (neverRan) {
-            unused(a);
-        } else if (a.jobClass().effect() == Effect.FREE) {
-            ledger.tryAgain(a.sheet().id());
+            unused(attempt);
+        } else if (attempt.jobClass().effect() == Effect.FREE) {
+            ledger.tryAgain(attempt.sheet().id());
         }
     }
 
@@ -225,25 +231,25 @@
         private final String id;
         private final boolean background;
         private boolean silent;
-        private boolean over;
+        private boolean ended;
 
         Reply(String id, boolean background) {
             this.id = id;
             this.background = background;
         }
 
-        private void end(Ledger.Word word, byte[] result) {
-            over = true;
-            here.remove(id);
+        private void end(Ledger.Word outcome, byte[] result) {
+            ended = true;
+            openOrders.remove(id);
             replies.remove(id);
             if (!silent) {
-                ledger.told(id, word, result);
+                ledger.told(id, outcome, result);
             }
         }
 
         @Override
         public void served(ByteBuffer result) {
-            end(Ledger.Word.DONE, bytes(result));
+            end(Ledger.Word.DONE, copyOf(result));
         }
 
         @Override
@@ -257,8 +263,8 @@
         }
 
         @Override
-        public void failed(ByteBuffer why) {
-            end(Ledger.Word.FAILED, bytes(why));
+        public void failed(ByteBuffer reason) {
+            end(Ledger.Word.FAILED, copyOf(reason));
         }
 
         @Override
@@ -268,12 +274,12 @@
 
         @Override
         public void progressed(double share) {
-            List.copyOf(waiting.getOrDefault(id, List.of())).forEach(s -> s.progressed(share));
+            List.copyOf(awaiting.getOrDefault(id, List.of())).forEach(submission -> submission.progressed(share));
         }
 
         @Override
-        public void warned(ByteBuffer words) {
-            List.copyOf(waiting.getOrDefault(id, List.of())).forEach(s -> s.warned(words));
+        public void warned(ByteBuffer text) {
+            List.copyOf(awaiting.getOrDefault(id, List.of())).forEach(submission -> submission.warned(text));
         }
     }
 }
--- a/src/main/java/plumpost/gearman/FunctionTable.java
+++ b/src/main/java/plumpost/gearman/FunctionTable.java
@@ -14,49 +14,49 @@
     static final class Function {
         final String name;
         final int kind;
-        final int cls;
-        final int[] most = new int[3];
+        final int classIndex;
+        final int[] maxQueued = new int[3];
         int workers;
 
-        private Function(String name, int kind, int cls) {
+        private Function(String name, int kind, int classIndex) {
             this.name = name;
             this.kind = kind;
-            this.cls = cls;
+            this.classIndex = classIndex;
         }
     }
 
     private final List<GearmanConfig.Rule> rules;
-    private final int limit;
-    private final int classes;
+    private final int maxFunctions;
+    private final int classCount;
     private final Map<String, Function> byName = new LinkedHashMap<>();
     private final List<Function> byKind = new ArrayList<>();
 
     /** A table in which each class is a function of its own name. */
     FunctionTable(List<JobClass> classes, GearmanConfig config) {
         rules = config.functions();
-        limit = Math.max(config.limits().functions(), classes.size());
-        this.classes = classes.size();
+        maxFunctions = Math.max(config.limits().functions(), classes.size());
+        this.classCount = classes.size();
         classes.forEach(c -> add(c.name(), byKind.size()));
     }
 
-    private Function add(String name, int cls) {
+    private Function add(String name, int classIndex) {
         int kind = byKind.indexOf(null);
         kind = kind < 0 ? byKind.size() : kind;
-        Function f = new Function(name, kind, cls);
-        byName.put(name, f);
+        Function function = new Function(name, kind, classIndex);
+        byName.put(name, function);
         if (kind == byKind.size()) {
-            byKind.add(f);
+            byKind.add(function);
         } else {
-            byKind.set(kind, f);
+            byKind.set(kind, function);
         }
-        return f;
+        return function;
     }
 
     /** The function of a name, made known if a rule gives it a class and there is room; else null. */
-    Function find(String name) {
-        Function f = byName.get(name);
-        return f != null || full()
-                ? f
+    Function findOrAdd(String name) {
+        Function function = byName.get(name);
+        return function != null || isFull()
+                ? function
                 : rules.stream()
                         .filter(r -> r.match().matcher(name).matches())
                         .findFirst()
@@ -65,33 +65,33 @@
     }
 
     /** The function of a kind of work. */
-    Function of(int kind) {
+    Function get(int kind) {
         return byKind.get(kind);
     }
 
-    boolean full() {
-        return byName.size() >= limit;
+    boolean isFull() {
+        return byName.size() >= maxFunctions;
     }
 
-    int limit() {
-        return limit;
+    int maxFunctions() {
+        return maxFunctions;
     }
 
-    Collection<Function> all() {
+    Collection<Function> functions() {
         return byName.values();
     }
 
     /** The function of a name if it is known already. */
-    Function known(String name) {
+    Function findExisting(String name) {
         return byName.get(name);
     }
 
     /** Forgets a function that nothing uses; one that a class is named after stays. */
-    boolean drop(Function f) {
-        if (f.kind < classes || !byName.remove(f.name, f)) {
+    boolean remove(Function function) {
+        if (function.kind < classCount || !byName.remove(function.name, function)) {
             return false;
         }
-        byKind.set(f.kind, null);
+        byKind.set(function.kind, null);
         return true;
     }
 }
--- a/src/main/java/plumpost/gearman/GearmanConnection.java
+++ b/src/main/java/plumpost/gearman/GearmanConnection.java
@@ -9,56 +9,56 @@
 /** One Gearman connection: a client, a worker, an admin, or all of them. Reads packets and hands them to its sides. */
 final class GearmanConnection implements ConnectionHandler {
     /** A packet on its way for longer than this, and than its size at a slow link's pace, ends the connection. */
-    private static final double SLOW_MS = 10_000;
+    private static final double SLOW_GRACE_MS = 10_000;
 
-    private static final double SLOW_BYTES_A_MS = 16;
+    private static final double MIN_BYTES_PER_MS = 16;
 
     /** Bytes of a long answer that are written at a time. */
-    private static final int PIECE = 64 * 1024;
+    private static final int ANSWER_CHUNK_BYTES = 64 * 1024;
 
-    final Connection wire;
-    private final GearmanFront door;
+    final Connection connection;
+    private final GearmanFront front;
     private final long number;
     private final PacketReader reader;
-    private final double since;
+    private final double connectedAtMs;
     private ClientSession client;
-    private WorkerSession seat;
+    private WorkerSession worker;
     private String clientId;
-    private boolean over;
+    private boolean closed;
     private boolean reading;
-    private double waitingSince = Double.NaN;
-    private boolean spoke;
-    private ByteBuffer listing;
+    private double pendingSinceMs = Double.NaN;
+    private boolean hasReceivedBytes;
+    private ByteBuffer adminAnswer;
 
-    GearmanConnection(GearmanFront door, Connection wire, long number) {
-        since = door.kit.clock().nowMs();
-        this.door = door;
+    GearmanConnection(GearmanFront front, Connection connection, long number) {
+        connectedAtMs = front.context.clock().nowMs();
+        this.front = front;
         this.number = number;
-        this.wire = wire;
-        reader = new PacketReader(Packet.REQUEST, true, door.config.limits().packetBytes(), door.reading);
+        this.connection = connection;
+        reader = new PacketReader(Packet.REQUEST, true, front.config.limits().packetBytes(), front.readBudget);
     }
 
     void write(Type type, Object... arguments) {
-        if (!over) {
-            door.kit.counters().count(type.outCounter);
-            wire.write(Packet.bytes(Packet.RESPONSE, type, arguments));
+        if (!closed) {
+            front.context.counters().count(type.outCounter);
+            connection.write(Packet.bytes(Packet.RESPONSE, type, arguments));
         }
     }
 
     /** True when a packet has been under way in either direction for too long. */
-    boolean slow(double now) {
-        boolean waiting = reader.midway() || !wire.flushed();
-        waitingSince = !waiting ? Double.NaN : Double.isNaN(waitingSince) ? now : waitingSince;
-        return waiting && now - waitingSince > SLOW_MS + reader.claimed() / SLOW_BYTES_A_MS;
+    boolean isSlow(double nowMs) {
+        boolean pending = reader.inProgress() || !connection.flushed();
+        pendingSinceMs = !pending ? Double.NaN : Double.isNaN(pendingSinceMs) ? nowMs : pendingSinceMs;
+        return pending && nowMs - pendingSinceMs > SLOW_GRACE_MS + reader.claimedBytes() / MIN_BYTES_PER_MS;
     }
 
     /** How long it has been connected without a byte; 0 once one came. */
-    double silentFor(double now) {
-        return spoke ? 0 : now - since;
+    double silentMs(double nowMs) {
+        return hasReceivedBytes ? 0 : nowMs - connectedAtMs;
     }
 
-    WorkerSession seat() {
-        return seat;
+    WorkerSession worker() {
+        return worker;
     }
 
     /** What the worker calls itself, or null. */
@@ -66,26 +66,26 @@
         return clientId;
     }
 
-    double since() {
-        return since;
+    double connectedAtMs() {
+        return connectedAtMs;
     }
 
     String describe() {
-        StringBuilder all =
-                new StringBuilder(number + " " + wire.peer() + ' ' + (clientId == null ? "-" : clientId) + " :");
-        if (seat != null) {
-            seat.functions().forEach(f -> all.append(' ').append(f.name));
+        StringBuilder text =
+                new StringBuilder(number + " " + connection.peer() + ' ' + (clientId == null ? "-" : clientId) + " :");
+        if (worker != null) {
+            worker.functions().forEach(f -> text.append(' ').append(f.name));
         }
-        return all.append('\n').toString();
+        return text.append('\n').toString();
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
-        spoke = true;
+    public void bytes(ByteBuffer input) {
+        hasReceivedBytes = true;
         reading = true;
         try {
-            while (!over && step(in)) {
-                waitingSince = Double.NaN;
+            while (!closed && readNext(input)) {
+                pendingSinceMs = Double.NaN;
             }
         } finally {
             reading = false;
@@ -93,31 +93,31 @@
     }
 
     /** Reads what has come from the peer, its end among it, unless that is under way already. */
-    void look() {
-        if (!over && !reading) {
-            wire.look();
+    void readAvailable() {
+        if (!closed && !reading) {
+            connection.look();
         }
     }
 
     /** Takes the next packet or line; false for want of bytes. */
-    private boolean step(ByteBuffer in) {
+    private boolean readNext(ByteBuffer input) {
         try {
-            Packet p = reader.next(in);
-            String line = p == null ? reader.line() : null;
-            if (listing != null && (p != null || line != null)) {
+            Packet packet = reader.next(input);
+            String line = packet == null ? reader.takeLine() : null;
+            if (adminAnswer != null && (packet != null || line != null)) {
                 error("impatient", "the list that was asked for is not read yet");
-            } else if (p != null) {
-                door.kit.counters().count(p.type().inCounter);
-                packet(p);
+            } else if (packet != null) {
+                front.context.counters().count(packet.type().inCounter);
+                onPacket(packet);
             } else if (line != null) {
-                door.admin.answer(line, this::list);
+                front.adminCommands.answer(line, this::writeAdminAnswer);
             }
-            return p != null || line != null;
+            return packet != null || line != null;
         } catch (PacketReader.BadPacket e) {
             if (e.fatal()) {
                 error(e.code(), e.getMessage());
             } else {
-                door.kit.counters().count("gearman.bad." + e.code());
+                front.context.counters().count("gearman.bad." + e.code());
                 write(Type.ERROR, e.code(), e.getMessage());
             }
             return true;
@@ -125,50 +125,50 @@
     }
 
     /** Writes an admin's answer; a long one in pieces as the peer reads, so that a full ledger's list is not held twice. */
-    private void list(String answer) {
-        listing = ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8));
-        if (listing.remaining() > PIECE) {
-            if (door.lister != null && door.lister != this) {
-                listing = null;
-                wire.write(ByteBuffer.wrap(
+    private void writeAdminAnswer(String answer) {
+        adminAnswer = ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8));
+        if (adminAnswer.remaining() > ANSWER_CHUNK_BYTES) {
+            if (front.longAnswerConnection != null && front.longAnswerConnection != this) {
+                adminAnswer = null;
+                connection.write(ByteBuffer.wrap(
                         "ERR BUSY Another+long+list+is+being+read\n".getBytes(StandardCharsets.US_ASCII)));
                 return;
             }
-            door.lister = this;
+            front.longAnswerConnection = this;
         }
         flushed();
     }
 
     @Override
     public void flushed() {
-        if (listing != null && !over) {
-            int n = Math.min(PIECE, listing.remaining());
-            ByteBuffer piece = listing.slice(listing.position(), n);
-            listing.position(listing.position() + n);
-            if (!listing.hasRemaining()) {
-                listed();
+        if (adminAnswer != null && !closed) {
+            int length = Math.min(ANSWER_CHUNK_BYTES, adminAnswer.remaining());
+            ByteBuffer chunk = adminAnswer.slice(adminAnswer.position(), length);
+            adminAnswer.position(adminAnswer.position() + length);
+            if (!adminAnswer.hasRemaining()) {
+                endAdminAnswer();
             }
-            wire.write(piece);
+            connection.write(chunk);
         }
     }
 
-    private void listed() {
-        listing = null;
-        if (door.lister == this) {
-            door.lister = null;
+    private void endAdminAnswer() {
+        adminAnswer = null;
+        if (front.longAnswerConnection == this) {
+            front.longAnswerConnection = null;
         }
     }
 
     /** Says what is wrong and ends the connection; what hangs on it ends as if the peer had left. */
-    void error(String code, String words) {
-        door.kit.counters().count("gearman.bad." + code);
-        write(Type.ERROR, code, words);
+    void error(String code, String message) {
+        front.context.counters().count("gearman.bad." + code);
+        write(Type.ERROR, code, message);
         ended();
-        wire.finish();
+        connection.finish();
     }
 
-    private void packet(Packet p) {
-        switch (p.type()) {
+    private void onPacket(Packet packet) {
+        switch (packet.type()) {
             case SUBMIT_JOB,
                     SUBMIT_JOB_HIGH,
                     SUBMIT_JOB_LOW,
@@ -183,12 +183,12 @@
                     GET_STATUS_UNIQUE,
                     OPTION_REQ -> {
                 if (client == null) {
-                    client = new ClientSession(door, this);
+                    client = new ClientSession(front, this);
                 }
-                client.packet(p);
+                client.onPacket(packet);
             }
-            case ECHO_REQ -> write(Type.ECHO_RES, p.parts().get(0));
-            case SET_CLIENT_ID -> clientId(p.text(0));
+            case ECHO_REQ -> write(Type.ECHO_RES, packet.parts().get(0));
+            case SET_CLIENT_ID -> clientId(packet.text(0));
             case ALL_YOURS -> {} // the same for one server and its workers
             case CAN_DO,
                     CAN_DO_TIMEOUT,
@@ -204,12 +204,12 @@
                     WORK_EXCEPTION,
                     WORK_DATA,
                     WORK_WARNING -> {
-                if (seat == null) {
-                    seat = new WorkerSession(door, this);
+                if (worker == null) {
+                    worker = new WorkerSession(front, this);
                 }
-                seat.packet(p);
+                worker.onPacket(packet);
             }
-            default -> error("malformed", p.type() + " is not for a server");
+            default -> error("malformed", packet.type() + " is not for a server");
         }
     }
 
@@ -223,18 +223,18 @@
 
     @Override
     public void ended() {
-        if (over) {
+        if (closed) {
             return;
         }
-        over = true;
-        listed();
-        reader.end();
-        door.left(this);
+        closed = true;
+        endAdminAnswer();
+        reader.release();
+        front.removeConnection(this);
         if (client != null) {
-            client.left();
+            client.onDisconnected();
         }
-        if (seat != null) {
-            seat.lost();
+        if (worker != null) {
+            worker.onDisconnected();
         }
     }
 }
--- a/src/main/java/plumpost/gearman/Packet.java
+++ b/src/main/java/plumpost/gearman/Packet.java
@@ -62,20 +62,20 @@
         }
 
         final int code;
-        final int count;
+        final int argumentCount;
         final String inCounter;
         final String outCounter;
 
-        Type(int code, int count) {
+        Type(int code, int argumentCount) {
             this.code = code;
-            this.count = count;
+            this.argumentCount = argumentCount;
             inCounter = "gearman.in." + name();
             outCounter = "gearman.out." + name();
         }
 
         /** How many arguments a packet of this type has. */
         public int arguments() {
-            return count;
+            return argumentCount;
         }
 
         /** The type of a number, or null. */
@@ -90,39 +90,40 @@
     public static final int RESPONSE = 0x00524553;
 
     /** An argument as text. */
-    public String text(int i) {
-        return StandardCharsets.UTF_8.decode(parts.get(i).duplicate()).toString();
+    public String text(int index) {
+        return StandardCharsets.UTF_8.decode(parts.get(index).duplicate()).toString();
     }
 
-    private static final int COPIED = 1024;
+    private static final int MAX_COPIED_BYTES = 1024;
 
     /** The bytes of a packet, ready to be written in order: one buffer, and a second for much data at its end. */
     public static ByteBuffer[] bytes(int magic, Type type, Object... arguments) {
         Object last = arguments.length == 0 ? null : arguments[arguments.length - 1];
-        ByteBuffer data = last instanceof ByteBuffer b && b.remaining() > COPIED ? b.duplicate() : null;
+        ByteBuffer data =
+                last instanceof ByteBuffer buffer && buffer.remaining() > MAX_COPIED_BYTES ? buffer.duplicate() : null;
         byte[][] texts = new byte[arguments.length][];
-        int size = Math.max(0, arguments.length - 1);
+        int bodySize = Math.max(0, arguments.length - 1);
         for (int i = 0; i < arguments.length; i++) {
-            if (arguments[i] instanceof ByteBuffer b) {
-                size += b.remaining();
+            if (arguments[i] instanceof ByteBuffer buffer) {
+                bodySize += buffer.remaining();
             } else {
                 texts[i] = String.valueOf(arguments[i]).getBytes(StandardCharsets.UTF_8);
-                size += texts[i].length;
+                bodySize += texts[i].length;
             }
         }
-        ByteBuffer all = ByteBuffer.allocate(12 + size - (data == null ? 0 : data.remaining()));
-        all.putInt(magic).putInt(type.code).putInt(size);
+        ByteBuffer packet = ByteBuffer.allocate(12 + bodySize - (data == null ? 0 : data.remaining()));
+        packet.putInt(magic).putInt(type.code).putInt(bodySize);
         for (int i = 0; i < arguments.length; i++) {
             if (i > 0) {
-                all.put((byte) 0);
+                packet.put((byte) 0);
             }
             if (texts[i] != null) {
-                all.put(texts[i]);
+                packet.put(texts[i]);
             } else if (data == null || i < arguments.length - 1) {
-                all.put(((ByteBuffer) arguments[i]).duplicate());
+                packet.put(((ByteBuffer) arguments[i]).duplicate());
             }
         }
-        all.flip();
-        return data == null ? new ByteBuffer[] {all} : new ByteBuffer[] {all, data};
+        packet.flip();
+        return data == null ? new ByteBuffer[] {packet} : new ByteBuffer[] {packet, data};
     }
 }
--- a/src/main/java/plumpost/gearman/PacketReader.java
+++ b/src/main/java/plumpost/gearman/PacketReader.java
@@ -16,8 +16,8 @@
         private final String code;
         private final boolean fatal;
 
-        BadPacket(String code, String words, boolean fatal) {
-            super(words, null, false, false);
+        BadPacket(String code, String message, boolean fatal) {
+            super(message, null, false, false);
             this.code = code;
             this.fatal = fatal;
         }
@@ -35,195 +35,199 @@
 
     /** Bytes that packets under way may hold together, over all readers that share it. */
     public static final class Budget {
-        private final long most;
-        private long held;
+        private final long maxBytes;
+        private long reservedBytes;
 
         /** A budget of so many bytes. */
-        public Budget(long most) {
-            this.most = most;
+        public Budget(long maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
-        private boolean take(long more) {
-            if (held + more > most) {
+        private boolean reserve(long bytes) {
+            if (reservedBytes + bytes > maxBytes) {
                 return false;
             }
-            held += more;
+            reservedBytes += bytes;
             return true;
         }
 
         /** Bytes that are held now. */
-        public long held() {
-            return held;
+        public long reservedBytes() {
+            return reservedBytes;
         }
     }
 
-    private static final int LINE_LIMIT = 1024;
-    private static final int FIRST_BYTES = 4096;
-    private static final int HEAD = 12;
+    private static final int MAX_LINE_LENGTH = 1024;
+    private static final int INITIAL_BODY_BYTES = 4096;
+    private static final int HEADER_BYTES = 12;
 
     private final int magic;
-    private final boolean lines;
-    private final int limit;
+    private final boolean acceptsLines;
+    private final int maxBodyBytes;
     private final Budget budget;
-    private final byte[] head = new byte[HEAD];
-    private int headBytes;
-    private StringBuilder line;
+    private final byte[] header = new byte[HEADER_BYTES];
+    private int headerReceived;
+    private StringBuilder partialLine;
     private byte[] body;
-    private int size;
-    private int got;
-    private long skip;
+    private int bodySize;
+    private int bodyReceived;
+    private long bytesToSkip;
     private Packet.Type type;
-    private String whole;
+    private String completeLine;
 
     /** A reader of packets with this magic, with bodies up to a limit. */
-    public PacketReader(int magic, boolean lines, int limit) {
-        this(magic, lines, limit, new Budget(Long.MAX_VALUE));
+    public PacketReader(int magic, boolean acceptsLines, int maxBodyBytes) {
+        this(magic, acceptsLines, maxBodyBytes, new Budget(Long.MAX_VALUE));
     }
 
     /** A reader that shares a budget with others. */
-    public PacketReader(int magic, boolean lines, int limit, Budget budget) {
+    public PacketReader(int magic, boolean acceptsLines, int maxBodyBytes, Budget budget) {
         this.magic = magic;
-        this.lines = lines;
-        this.limit = limit;
+        this.acceptsLines = acceptsLines;
+        this.maxBodyBytes = maxBodyBytes;
         this.budget = budget;
     }
 
     /** True while a packet or line has begun and is not whole. */
-    public boolean midway() {
-        return headBytes > 0 || body != null || skip > 0 || line != null;
+    public boolean inProgress() {
+        return headerReceived > 0 || body != null || bytesToSkip > 0 || partialLine != null;
     }
 
     /** Bytes of the packet under way, as its head says. */
-    public long claimed() {
-        return body != null ? size : skip;
+    public long claimedBytes() {
+        return body != null ? bodySize : bytesToSkip;
     }
 
     /** The text line that made {@link #next} return null, once; null if it was for want of bytes. */
-    public String line() {
-        String l = whole;
-        whole = null;
-        return l;
+    public String takeLine() {
+        String line = completeLine;
+        completeLine = null;
+        return line;
     }
 
     /** Gives back what a packet under way holds: its connection has ended. */
-    public void end() {
+    public void release() {
         if (body != null) {
-            budget.held -= body.length;
+            budget.reservedBytes -= body.length;
             body = null;
         }
     }
 
     /** The next whole packet; null for want of bytes, or where a text line came instead. */
-    public Packet next(ByteBuffer in) throws BadPacket {
-        while (in.hasRemaining()) {
-            if (skip > 0) {
-                int n = (int) Math.min(skip, in.remaining());
-                in.position(in.position() + n);
-                skip -= n;
+    public Packet next(ByteBuffer input) throws BadPacket {
+        while (input.hasRemaining()) {
+            if (bytesToSkip > 0) {
+                int length = (int) Math.min(bytesToSkip, input.remaining());
+                input.position(input.position() + length);
+                bytesToSkip -= length;
                 continue;
             }
             if (body == null) {
-                if (lines && headBytes == 0 && (line != null || in.get(in.position()) != 0)) {
-                    if (text(in.get())) {
+                if (acceptsLines && headerReceived == 0 && (partialLine != null || input.get(input.position()) != 0)) {
+                    if (readTextByte(input.get())) {
                         return null;
                     }
                     continue;
                 }
-                int n = Math.min(HEAD - headBytes, in.remaining());
-                in.get(head, headBytes, n);
-                headBytes += n;
-                if (headBytes < HEAD) {
+                int length = Math.min(HEADER_BYTES - headerReceived, input.remaining());
+                input.get(header, headerReceived, length);
+                headerReceived += length;
+                if (headerReceived < HEADER_BYTES) {
                     return null;
                 }
-                headBytes = 0;
-                begin();
-                if (got == size) {
-                    return whole();
+                headerReceived = 0;
+                readHeader();
+                if (bodyReceived == bodySize) {
+                    return completePacket();
                 }
                 continue;
             }
-            int n = Math.min(size - got, in.remaining());
-            if (got + n > body.length) {
-                grow(got + n);
+            int length = Math.min(bodySize - bodyReceived, input.remaining());
+            if (bodyReceived + length > body.length) {
+                growBody(bodyReceived + length);
             }
             if (body == null) { // no room: begin() has set what is passed over
                 continue;
             }
-            in.get(body, got, n);
-            got += n;
-            if (got == size) {
-                return whole();
+            input.get(body, bodyReceived, length);
+            bodyReceived += length;
+            if (bodyReceived == bodySize) {
+                return completePacket();
             }
         }
         return null;
     }
 
-    private void grow(int need) throws BadPacket {
-        int to = Math.min(size, Math.max(need, 2 * body.length));
-        if (!budget.take(to - body.length)) {
-            end();
-            skip = size - got;
+    private void growBody(int neededBytes) throws BadPacket {
+        int capacity = Math.min(bodySize, Math.max(neededBytes, 2 * body.length));
+        if (!budget.reserve(capacity - body.length)) {
+            release();
+            bytesToSkip = bodySize - bodyReceived;
             throw new BadPacket(
                     "memory",
-                    type + " of " + size + " bytes: limits.readingBytes " + budget.most + " is used up",
+                    type + " of " + bodySize + " bytes: limits.readingBytes " + budget.maxBytes + " is used up",
                     false);
         }
-        body = Arrays.copyOf(body, to);
+        body = Arrays.copyOf(body, capacity);
     }
 
-    private boolean text(byte b) throws BadPacket {
-        if (b == '\n') {
-            whole = line == null ? "" : line.toString().strip();
-            line = null;
+    private boolean readTextByte(byte next) throws BadPacket {
+        if (next == '\n') {
+            completeLine = partialLine == null ? "" : partialLine.toString().strip();
+            partialLine = null;
             return true;
         }
-        line = line == null ? new StringBuilder() : line;
-        if (line.length() == LINE_LIMIT || b < ' ' && b != '\r' && b != '\t') {
+        partialLine = partialLine == null ? new StringBuilder() : partialLine;
+        if (partialLine.length() == MAX_LINE_LENGTH || next < ' ' && next != '\r' && next != '\t') {
             throw new BadPacket("malformed", "neither a packet nor a line of text", true);
         }
-        line.append((char) b);
+        partialLine.append((char) next);
         return false;
     }
 
-    private void begin() throws BadPacket {
-        ByteBuffer h = ByteBuffer.wrap(head);
-        int said = h.getInt();
-        type = Packet.Type.of(h.getInt());
-        size = h.getInt();
-        got = 0;
-        if (said != magic || type == null || size < 0) {
-            throw new BadPacket("malformed", said != magic ? "wrong magic" : "unknown packet type or size", true);
-        }
-        int first = Math.min(size, FIRST_BYTES);
-        if (size > limit || !budget.take(first)) {
-            skip = size;
-            throw size > limit
-                    ? new BadPacket("too_large", type + " of " + size + " bytes: limits.packetBytes is " + limit, false)
+    private void readHeader() throws BadPacket {
+        ByteBuffer fields = ByteBuffer.wrap(header);
+        int receivedMagic = fields.getInt();
+        type = Packet.Type.of(fields.getInt());
+        bodySize = fields.getInt();
+        bodyReceived = 0;
+        if (receivedMagic != magic || type == null || bodySize < 0) {
+            throw new BadPacket(
+                    "malformed", receivedMagic != magic ? "wrong magic" : "unknown packet type or size", true);
+        }
+        int initialBytes = Math.min(bodySize, INITIAL_BODY_BYTES);
+        if (bodySize > maxBodyBytes || !budget.reserve(initialBytes)) {
+            bytesToSkip = bodySize;
+            throw bodySize > maxBodyBytes
+                    ? new BadPacket(
+                            "too_large",
+                            type + " of " + bodySize + " bytes: limits.packetBytes is " + maxBodyBytes,
+                            false)
                     : new BadPacket(
                             "memory",
-                            type + " of " + size + " bytes: limits.readingBytes " + budget.most + " is used up",
+                            type + " of " + bodySize + " bytes: limits.readingBytes " + budget.maxBytes + " is used up",
                             false);
         }
-        body = new byte[first];
+        body = new byte[initialBytes];
     }
 
-    private Packet whole() throws BadPacket {
-        ByteBuffer all = ByteBuffer.wrap(body, 0, size);
-        end();
-        List<ByteBuffer> parts = new ArrayList<>(type.count);
-        int from = 0;
-        for (int i = 0; i < size && parts.size() < type.count - 1; i++) {
-            if (all.get(i) == 0) {
-                parts.add(all.slice(from, i - from));
-                from = i + 1;
+    private Packet completePacket() throws BadPacket {
+        ByteBuffer data = ByteBuffer.wrap(body, 0, bodySize);
+        release();
+        List<ByteBuffer> arguments = new ArrayList<>(type.argumentCount);
+        int start = 0;
+        for (int i = 0; i < bodySize && arguments.size() < type.argumentCount - 1; i++) {
+            if (data.get(i) == 0) {
+                arguments.add(data.slice(start, i - start));
+                start = i + 1;
             }
         }
-        if (type.count > 0) {
-            parts.add(all.slice(from, size - from));
+        if (type.argumentCount > 0) {
+            arguments.add(data.slice(start, bodySize - start));
         }
-        if (parts.size() != type.count || type.count == 0 && size > 0) {
+        if (arguments.size() != type.argumentCount || type.argumentCount == 0 && bodySize > 0) {
             throw new BadPacket("malformed", type + " with the wrong number of arguments", true);
         }
-        return new Packet(type, parts);
+        return new Packet(type, arguments);
     }
 }
--- a/src/main/java/plumpost/gearman/Submission.java
+++ b/src/main/java/plumpost/gearman/Submission.java
@@ -11,11 +11,11 @@
 final class Submission implements ReplyTo {
     private final ClientSession client;
     String handle;
-    OpenJob entry;
-    private List<Runnable> early = new ArrayList<>(0);
+    OpenJob openJob;
+    private List<Runnable> deferred = new ArrayList<>(0);
     private Runnable whenDone;
     private boolean done;
-    private int told;
+    private int sentBytes;
 
     /** A submission; in the background, without a client who waits, where that is null. */
     Submission(ClientSession client, String handle) {
@@ -31,58 +31,58 @@
     @Override
     public void look() {
         if (client != null) {
-            client.look();
+            client.readAvailable();
         }
     }
 
-    boolean done() {
+    boolean isDone() {
         return done;
     }
 
-    void whenDone(Runnable what) {
-        whenDone = what;
+    void whenDone(Runnable action) {
+        whenDone = action;
     }
 
     /** JOB_CREATED comes first, also where the core has answered at once. */
-    void announce(GearmanConnection to) {
-        to.write(Type.JOB_CREATED, handle);
-        List<Runnable> words = early;
-        early = null;
-        words.forEach(Runnable::run);
+    void announce(GearmanConnection connection) {
+        connection.write(Type.JOB_CREATED, handle);
+        List<Runnable> packets = deferred;
+        deferred = null;
+        packets.forEach(Runnable::run);
     }
 
-    private void say(Runnable words) {
+    private void send(Runnable packet) {
         if (client == null) {
             return;
         }
-        if (early == null) {
-            words.run();
+        if (deferred == null) {
+            packet.run();
         } else {
-            early.add(words);
+            deferred.add(packet);
         }
     }
 
-    private void last(Runnable words) {
+    private void finish(Runnable packet) {
         done = true;
         if (whenDone != null) {
             whenDone.run();
         }
         if (client != null) {
-            client.done(this);
-            say(words);
+            client.onDone(this);
+            send(packet);
         }
     }
 
     @Override
     public void served(ByteBuffer result) {
-        ByteBuffer rest = result.duplicate();
-        rest.position(rest.position() + told);
-        last(() -> client.write(Type.WORK_COMPLETE, handle, rest));
+        ByteBuffer remainder = result.duplicate();
+        remainder.position(remainder.position() + sentBytes);
+        finish(() -> client.write(Type.WORK_COMPLETE, handle, remainder));
     }
 
     @Override
     public void refused(double retryAfterMs) {
-        last(() -> {
+        finish(() -> {
             if (client.exceptions()) {
                 client.write(
                         Type.WORK_EXCEPTION, handle, "refused, try again after " + Math.round(retryAfterMs) + " ms");
@@ -94,14 +94,14 @@
 
     @Override
     public void failed() {
-        last(() -> client.write(Type.WORK_FAIL, handle));
+        finish(() -> client.write(Type.WORK_FAIL, handle));
     }
 
     @Override
-    public void failed(ByteBuffer why) {
-        last(() -> {
+    public void failed(ByteBuffer reason) {
+        finish(() -> {
             if (client.exceptions()) {
-                client.write(Type.WORK_EXCEPTION, handle, why);
+                client.write(Type.WORK_EXCEPTION, handle, reason);
             } else {
                 client.write(Type.WORK_FAIL, handle);
             }
@@ -109,18 +109,18 @@
     }
 
     @Override
-    public void part(ByteBuffer more) {
-        told += more.remaining();
-        say(() -> client.write(Type.WORK_DATA, handle, more));
+    public void part(ByteBuffer data) {
+        sentBytes += data.remaining();
+        send(() -> client.write(Type.WORK_DATA, handle, data));
     }
 
     @Override
     public void progressed(double share) {
-        say(() -> client.write(Type.WORK_STATUS, handle, Math.round(share * 100), 100));
+        send(() -> client.write(Type.WORK_STATUS, handle, Math.round(share * 100), 100));
     }
 
     @Override
-    public void warned(ByteBuffer words) {
-        say(() -> client.write(Type.WORK_WARNING, handle, words));
+    public void warned(ByteBuffer text) {
+        send(() -> client.write(Type.WORK_WARNING, handle, text));
     }
 }
--- a/src/main/java/plumpost/gearman/WorkerHistory.java
+++ b/src/main/java/plumpost/gearman/WorkerHistory.java
@@ -9,23 +9,23 @@
  * given time before it is listed again. Bounded; does no I/O.
  */
 final class WorkerHistory {
-    private static final int MOST = 10_000;
+    private static final int MAX_WORKERS = 10_000;
     private static final double FIRST_DELAY_MS = 100;
-    private static final double MOST_DELAY_MS = 10_000;
+    private static final double MAX_DELAY_MS = 10_000;
 
-    private static final class Page {
-        double upSince;
-        double leftAt = Double.NaN;
-        int strikes;
+    private static final class Entry {
+        double upSinceMs;
+        double leftAtMs = Double.NaN;
+        int missedGrabs;
     }
 
     private final double returnMs;
-    private final Map<String, Page> pages = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, Entry> byClientId = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Page> eldest) {
-            return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
+            return size() > MAX_WORKERS;
         }
     };
 
@@ -34,45 +34,45 @@
     }
 
     /** A worker is to be listed; returns since when it has been up. Two at once under one id are two workers. */
-    double come(String clientId, double connectedAt, double now) {
+    double onReady(String clientId, double connectedAtMs, double nowMs) {
         if (clientId == null) {
-            return connectedAt;
+            return connectedAtMs;
         }
-        Page p = pages.computeIfAbsent(clientId, k -> new Page());
-        boolean back = !Double.isNaN(p.leftAt) && now - p.leftAt <= returnMs;
-        p.upSince = back ? p.upSince : connectedAt;
-        p.leftAt = Double.NaN;
-        return p.upSince;
+        Entry entry = byClientId.computeIfAbsent(clientId, id -> new Entry());
+        boolean returned = !Double.isNaN(entry.leftAtMs) && nowMs - entry.leftAtMs <= returnMs;
+        entry.upSinceMs = returned ? entry.upSinceMs : connectedAtMs;
+        entry.leftAtMs = Double.NaN;
+        return entry.upSinceMs;
     }
 
     /** How long a worker waits before it is listed: nothing, or longer with each strike in a row. */
     double delayMs(String clientId) {
-        Page p = clientId == null ? null : pages.get(clientId);
-        return p == null || p.strikes == 0
+        Entry entry = clientId == null ? null : byClientId.get(clientId);
+        return entry == null || entry.missedGrabs == 0
                 ? 0
-                : Math.min(MOST_DELAY_MS, FIRST_DELAY_MS * (1 << Math.min(p.strikes - 1, 10)));
+                : Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * (1 << Math.min(entry.missedGrabs - 1, 10)));
     }
 
-    void left(String clientId, double now) {
-        Page p = clientId == null ? null : pages.get(clientId);
-        if (p != null) {
-            p.leftAt = now;
+    void onDisconnected(String clientId, double nowMs) {
+        Entry entry = clientId == null ? null : byClientId.get(clientId);
+        if (entry != null) {
+            entry.leftAtMs = nowMs;
         }
     }
 
     /** It was given a job and did not grab it. */
-    void strike(String clientId) {
-        Page p = clientId == null ? null : pages.get(clientId);
-        if (p != null) {
-            p.strikes++;
+    void countMissedGrab(String clientId) {
+        Entry entry = clientId == null ? null : byClientId.get(clientId);
+        if (entry != null) {
+            entry.missedGrabs++;
         }
     }
 
     /** It has ended a job: what was before does not count. */
-    void worked(String clientId) {
-        Page p = clientId == null ? null : pages.get(clientId);
-        if (p != null) {
-            p.strikes = 0;
+    void clearMissedGrabs(String clientId) {
+        Entry entry = clientId == null ? null : byClientId.get(clientId);
+        if (entry != null) {
+            entry.missedGrabs = 0;
         }
     }
 }
--- a/src/main/java/plumpost/gearman/WorkerSession.java
+++ b/src/main/java/plumpost/gearman/WorkerSession.java
@@ -26,373 +26,383 @@
  */
 final class WorkerSession implements NodeLink {
     /** A worker that was woken grabs within this time, or what waits for it goes elsewhere. */
-    private static final double GRAB_MS = 1_000;
+    private static final double GRAB_TIMEOUT_MS = 1_000;
 
-    private final GearmanFront door;
-    private final GearmanConnection caller;
+    private final GearmanFront front;
+    private final GearmanConnection connection;
     private final String id;
-    private final Map<Function, Double> limits = new LinkedHashMap<>(4);
-    private final ArrayDeque<Attempt> waiting = new ArrayDeque<>(2);
-    private double upSince = Double.NaN;
+    private final Map<Function, Double> timeoutsMs = new LinkedHashMap<>(4);
+    private final ArrayDeque<Attempt> queued = new ArrayDeque<>(2);
+    private double upSinceMs = Double.NaN;
     private Attempt running;
-    private String handle;
+    private String assignedHandle;
     private boolean busy;
     private boolean asleep;
-    private Type asks;
-    private TimerWheel.Timer answer;
+    private Type openGrab;
+    private TimerWheel.Timer noJobTimer;
     private boolean ready;
     private boolean listed;
-    private boolean absent;
+    private boolean withheld;
     private boolean lost;
-    private Phase told = Phase.DELETED;
-    private TimerWheel.Timer grab;
+    private Phase reportedPhase = Phase.DELETED;
+    private TimerWheel.Timer grabTimer;
 
-    WorkerSession(GearmanFront door, GearmanConnection caller) {
-        this.door = door;
-        this.caller = caller;
-        this.id = "gearman-" + door.newId();
+    WorkerSession(GearmanFront front, GearmanConnection connection) {
+        this.front = front;
+        this.connection = connection;
+        this.id = "gearman-" + front.newId();
     }
 
     Collection<Function> functions() {
-        return limits.keySet();
+        return timeoutsMs.keySet();
     }
 
     /** Tells the core what this node runs and whether it wants anything new; the first time only once it is ready. */
-    private void list() {
-        if (!listed && (!ready || limits.isEmpty() || lost)) {
+    private void reportNode() {
+        if (!listed && (!ready || timeoutsMs.isEmpty() || lost)) {
             return;
         }
         listed = true;
-        BitSet runs = new BitSet();
-        limits.keySet().forEach(f -> runs.set(f.kind));
-        told = lost
+        BitSet kinds = new BitSet();
+        timeoutsMs.keySet().forEach(function -> kinds.set(function.kind));
+        reportedPhase = lost
                 ? Phase.DELETED
-                : limits.isEmpty() || absent || busy && running == null ? Phase.DRAINING : Phase.SERVING;
-        door.listed(new ListedNode(
-                new WorkerEntry(id, door.config.plant(), door.config.model(), 0, told, 1, upSince, runs, 1), this));
+                : timeoutsMs.isEmpty() || withheld || busy && running == null ? Phase.DRAINING : Phase.SERVING;
+        front.reportNode(new ListedNode(
+                new WorkerEntry(
+                        id, front.config.plant(), front.config.model(), 0, reportedPhase, 1, upSinceMs, kinds, 1),
+                this));
     }
 
     /** Lists it anew where it has become or ceased to be fit for something new. */
-    private void relist() {
-        boolean fit = !limits.isEmpty() && !absent && !(busy && running == null);
-        if (listed && !lost && fit != (told == Phase.SERVING)) {
-            list();
+    private void reportNodeIfChanged() {
+        boolean canServe = !timeoutsMs.isEmpty() && !withheld && !(busy && running == null);
+        if (listed && !lost && canServe != (reportedPhase == Phase.SERVING)) {
+            reportNode();
         }
     }
 
     /** The worker says that it is there. One that left jobs ungrabbed before is given some time first. */
-    private void here() {
+    private void onReady() {
         if (!ready) {
             ready = true;
-            upSince = door.book.come(
-                    caller.clientId(), caller.since(), door.kit.clock().nowMs());
-            double delay = door.book.delayMs(caller.clientId());
-            if (delay > 0) {
-                door.kit.counters().count("gearman.flapping");
-                absent = true;
-                door.kit.wheel().at(door.kit.clock().nowMs() + delay, () -> {
-                    absent = false;
+            upSinceMs = front.workerHistory.onReady(
+                    connection.clientId(),
+                    connection.connectedAtMs(),
+                    front.context.clock().nowMs());
+            double delayMs = front.workerHistory.delayMs(connection.clientId());
+            if (delayMs > 0) {
+                front.context.counters().count("gearman.flapping");
+                withheld = true;
+                front.context.wheel().at(front.context.clock().nowMs() + delayMs, () -> {
+                    withheld = false;
                     if (!lost) {
-                        list();
+                        reportNode();
                     }
                 });
             } else {
-                list();
+                reportNode();
             }
         }
     }
 
-    void packet(Packet p) {
-        switch (p.type()) {
-            case CAN_DO, CAN_DO_TIMEOUT -> canDo(p);
-            case CANT_DO -> cannot(door.functions.known(p.text(0)));
-            case RESET_ABILITIES -> List.copyOf(limits.keySet()).forEach(this::cannot);
+    void onPacket(Packet packet) {
+        switch (packet.type()) {
+            case CAN_DO, CAN_DO_TIMEOUT -> addFunction(packet);
+            case CANT_DO -> removeFunction(front.functions.findExisting(packet.text(0)));
+            case RESET_ABILITIES -> List.copyOf(timeoutsMs.keySet()).forEach(this::removeFunction);
             case PRE_SLEEP -> {
-                noJob(); // it asks no more
+                answerNoJob(); // it asks no more
                 asleep = true;
-                here();
+                onReady();
                 wake();
             }
-            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> grab(p.type());
-            case WORK_STATUS -> status(p);
+            case GRAB_JOB, GRAB_JOB_UNIQ, GRAB_JOB_ALL -> onGrab(packet.type());
+            case WORK_STATUS -> onStatus(packet);
             case WORK_DATA -> {
-                if (mine(p, false)) {
-                    running.part(p.parts().get(1));
+                if (acceptReport(packet, false)) {
+                    running.part(packet.parts().get(1));
                 }
             }
             case WORK_WARNING -> {
-                if (mine(p, false)) {
-                    running.warned(p.parts().get(1));
+                if (acceptReport(packet, false)) {
+                    running.warned(packet.parts().get(1));
                 }
             }
             case WORK_COMPLETE -> {
-                if (mine(p, true)) {
-                    end().served(p.parts().get(1), null);
-                } else if (door.orders != null) {
-                    door.orders.late(p.text(0), p.parts().get(1));
+                if (acceptReport(packet, true)) {
+                    clearRunning().served(packet.parts().get(1), null);
+                } else if (front.fleetOrders != null) {
+                    front.fleetOrders.reportLateResult(
+                            packet.text(0), packet.parts().get(1));
                 }
             }
             case WORK_EXCEPTION -> {
-                if (mine(p, true)) {
-                    end().failed(p.parts().get(1), null);
+                if (acceptReport(packet, true)) {
+                    clearRunning().failed(packet.parts().get(1), null);
                 }
             }
             default -> { // WORK_FAIL
-                if (mine(p, true)) {
-                    end().ended(Ending.ERROR, null);
+                if (acceptReport(packet, true)) {
+                    clearRunning().ended(Ending.ERROR, null);
                 }
             }
         }
     }
 
-    private void canDo(Packet p) {
-        double limitS = 0;
-        if (p.type() == Type.CAN_DO_TIMEOUT) {
-            if (!p.text(1).matches("[0-9]{1,9}")) {
-                caller.error("malformed", "CAN_DO_TIMEOUT without a number of seconds");
+    private void addFunction(Packet packet) {
+        double timeoutS = 0;
+        if (packet.type() == Type.CAN_DO_TIMEOUT) {
+            if (!packet.text(1).matches("[0-9]{1,9}")) {
+                connection.error("malformed", "CAN_DO_TIMEOUT without a number of seconds");
                 return;
             }
-            limitS = Long.parseLong(p.text(1));
+            timeoutS = Long.parseLong(packet.text(1));
         }
-        Function f = door.functions.find(p.text(0));
-        if (f == null) {
-            boolean full = door.functions.full();
-            door.kit.counters().count(full ? "gearman.not.functions" : "gearman.unknown_function");
+        Function function = front.functions.findOrAdd(packet.text(0));
+        if (function == null) {
+            boolean full = front.functions.isFull();
+            front.context.counters().count(full ? "gearman.not.functions" : "gearman.unknown_function");
             if (full) { // else no job of such a function will ever come
-                caller.write(
+                connection.write(
                         Type.ERROR,
                         "functions",
-                        p.text(0) + ": limits.functions " + door.functions.limit() + " is used up");
+                        packet.text(0) + ": limits.functions " + front.functions.maxFunctions() + " is used up");
             }
             return;
         }
-        if (limits.put(f, limitS * 1000) == null) {
-            f.workers++;
-            list();
+        if (timeoutsMs.put(function, timeoutS * 1000) == null) {
+            function.workers++;
+            reportNode();
         }
     }
 
     /** Not this function any more: what waits for it and has not been grabbed goes back unstarted. */
-    private void cannot(Function f) {
-        if (f != null && limits.remove(f) != null) {
-            f.workers--;
-            list();
-            for (Attempt a : List.copyOf(waiting)) {
-                if (a.sheet().work().kind() == f.kind) {
-                    waiting.remove(a);
-                    a.ended(Ending.FULL, null);
+    private void removeFunction(Function function) {
+        if (function != null && timeoutsMs.remove(function) != null) {
+            function.workers--;
+            reportNode();
+            for (Attempt attempt : List.copyOf(queued)) {
+                if (attempt.sheet().work().kind() == function.kind) {
+                    queued.remove(attempt);
+                    attempt.ended(Ending.FULL, null);
                 }
             }
         }
     }
 
     /** True for the job that is out here; packets on one that was given up are counted and dropped. */
-    private boolean mine(Packet p, boolean ends) {
-        boolean known = p.text(0).equals(handle);
-        boolean wanted = known && running != null;
-        if (known && ends) {
-            handle = null;
+    private boolean acceptReport(Packet packet, boolean ends) {
+        boolean assigned = packet.text(0).equals(assignedHandle);
+        boolean current = assigned && running != null;
+        if (assigned && ends) {
+            assignedHandle = null;
             busy = false;
-            door.book.worked(caller.clientId());
-            relist();
+            front.workerHistory.clearMissedGrabs(connection.clientId());
+            reportNodeIfChanged();
         }
-        if (!wanted) {
-            door.kit.counters().count("gearman.stale");
+        if (!current) {
+            front.context.counters().count("gearman.stale");
         }
-        return wanted;
+        return current;
     }
 
-    private void status(Packet p) {
-        if (!p.text(1).matches("[0-9.]{1,18}") || !p.text(2).matches("[0-9.]{1,18}")) {
-            caller.error("malformed", "WORK_STATUS without numbers");
-        } else if (mine(p, false)) {
+    private void onStatus(Packet packet) {
+        if (!packet.text(1).matches("[0-9.]{1,18}") || !packet.text(2).matches("[0-9.]{1,18}")) {
+            connection.error("malformed", "WORK_STATUS without numbers");
+        } else if (acceptReport(packet, false)) {
             try {
-                double of = Double.parseDouble(p.text(2));
-                running.progressed(of > 0 ? Math.min(1, Double.parseDouble(p.text(1)) / of) : 0);
+                double denominator = Double.parseDouble(packet.text(2));
+                running.progressed(denominator > 0 ? Math.min(1, Double.parseDouble(packet.text(1)) / denominator) : 0);
             } catch (NumberFormatException e) {
-                caller.error("malformed", "WORK_STATUS without numbers");
+                connection.error("malformed", "WORK_STATUS without numbers");
             }
         }
     }
 
-    private Attempt end() {
-        Attempt a = running;
+    private Attempt clearRunning() {
+        Attempt attempt = running;
         running = null;
-        return a;
+        return attempt;
     }
 
-    private void grab(Type type) {
+    private void onGrab(Type type) {
         asleep = false;
-        noJob();
-        if (grab != null) {
-            grab.cancel();
-            grab = null;
+        answerNoJob();
+        if (grabTimer != null) {
+            grabTimer.cancel();
+            grabTimer = null;
         }
-        if (handle != null) {
+        if (assignedHandle != null) {
             // It asks anew without having ended its job: that job is not worked on any more.
-            Attempt a = end();
-            handle = null;
-            if (a != null) {
-                a.ended(Ending.RESET, null);
+            Attempt attempt = clearRunning();
+            assignedHandle = null;
+            if (attempt != null) {
+                attempt.ended(Ending.RESET, null);
             }
         }
         busy = false;
-        absent &= !listed; // who is there after all; a delay before its first listing runs on
-        here();
-        relist();
-        asks = type;
-        serve();
-        if (asks != null && door.config.grabHoldMs() > 0) {
+        withheld &= !listed; // who is there after all; a delay before its first listing runs on
+        onReady();
+        reportNodeIfChanged();
+        openGrab = type;
+        answerGrab();
+        if (openGrab != null && front.config.grabHoldMs() > 0) {
             // A job may come at any moment, and costs neither a sleep nor a wake-up then.
-            answer = door.kit.wheel().at(door.kit.clock().nowMs() + door.config.grabHoldMs(), this::noJob);
+            noJobTimer = front.context
+                    .wheel()
+                    .at(front.context.clock().nowMs() + front.config.grabHoldMs(), this::answerNoJob);
         } else {
-            noJob();
+            answerNoJob();
         }
     }
 
     /** Answers an open grab with the job that waits here, if there is one. */
-    private void serve() {
-        Attempt a = asks == null ? null : waiting.poll();
-        if (a == null) {
+    private void answerGrab() {
+        Attempt attempt = openGrab == null ? null : queued.poll();
+        if (attempt == null) {
             return;
         }
-        Type type = asks;
-        if (a.sheet().work().reducer() != null && type != Type.GRAB_JOB_ALL) {
+        Type type = openGrab;
+        if (attempt.sheet().work().reducer() != null && type != Type.GRAB_JOB_ALL) {
             // Without the reducer's name it would run as another job than was asked for.
-            door.kit.counters().count("gearman.reducer_not_grabbed");
-            noJob();
-            a.ended(Ending.FULL, null);
+            front.context.counters().count("gearman.reducer_not_grabbed");
+            answerNoJob();
+            attempt.ended(Ending.FULL, null);
             return;
         }
-        asks = null;
-        if (answer != null) {
-            answer.cancel();
+        openGrab = null;
+        if (noJobTimer != null) {
+            noJobTimer.cancel();
         }
-        assign(type, a);
+        assign(type, attempt);
     }
 
     /** Answers an open grab: there is no job. */
-    private void noJob() {
-        if (asks != null) {
-            asks = null;
-            caller.write(Type.NO_JOB);
+    private void answerNoJob() {
+        if (openGrab != null) {
+            openGrab = null;
+            connection.write(Type.NO_JOB);
         }
-        if (answer != null) {
-            answer.cancel();
-            answer = null;
+        if (noJobTimer != null) {
+            noJobTimer.cancel();
+            noJobTimer = null;
         }
     }
 
-    private void assign(Type type, Attempt a) {
-        JobRequest s = a.sheet();
-        running = a;
+    private void assign(Type type, Attempt attempt) {
+        JobRequest request = attempt.sheet();
+        running = attempt;
         busy = true;
-        if (grab != null) { // else it would end a later sleep
-            grab.cancel();
-            grab = null;
+        if (grabTimer != null) { // else it would end a later sleep
+            grabTimer.cancel();
+            grabTimer = null;
         }
-        handle = door.handle(s.id());
-        Function f = door.functions.of(s.work().kind());
-        String unique = s.work().unique() == null ? "" : s.work().unique();
+        assignedHandle = front.handleOf(request.id());
+        Function function = front.functions.get(request.work().kind());
+        String unique = request.work().unique() == null ? "" : request.work().unique();
         switch (type) {
-            case GRAB_JOB -> caller.write(Type.JOB_ASSIGN, handle, f.name, s.body());
-            case GRAB_JOB_UNIQ -> caller.write(Type.JOB_ASSIGN_UNIQ, handle, f.name, unique, s.body());
+            case GRAB_JOB -> connection.write(Type.JOB_ASSIGN, assignedHandle, function.name, request.body());
+            case GRAB_JOB_UNIQ ->
+                connection.write(Type.JOB_ASSIGN_UNIQ, assignedHandle, function.name, unique, request.body());
             default ->
-                caller.write(
+                connection.write(
                         Type.JOB_ASSIGN_ALL,
-                        handle,
-                        f.name,
+                        assignedHandle,
+                        function.name,
                         unique,
-                        s.work().reducer() == null ? "" : s.work().reducer(),
-                        s.body());
-        }
-        a.whole(); // handed to the worker's connection whole: its write is batched for the turn, not held back
-        double limit = limits.getOrDefault(f, 0.0);
-        if (limit > 0) {
-            door.kit.wheel().at(door.kit.clock().nowMs() + limit, () -> {
-                if (running == a) {
+                        request.work().reducer() == null ? "" : request.work().reducer(),
+                        request.body());
+        }
+        attempt.whole(); // handed to the worker's connection whole: its write is batched for the turn, not held back
+        double timeoutMs = timeoutsMs.getOrDefault(function, 0.0);
+        if (timeoutMs > 0) {
+            front.context.wheel().at(front.context.clock().nowMs() + timeoutMs, () -> {
+                if (running == attempt) {
                     running = null;
-                    relist();
-                    a.ended(Ending.TIMEOUT, null);
+                    reportNodeIfChanged();
+                    attempt.ended(Ending.TIMEOUT, null);
                 }
             });
         }
-        a.started();
+        attempt.started();
     }
 
     private void wake() {
-        if (waiting.isEmpty() || busy || lost) {
+        if (queued.isEmpty() || busy || lost) {
             return;
         }
-        if (asks != null) {
-            serve();
+        if (openGrab != null) {
+            answerGrab();
             return;
         }
         if (asleep) {
             asleep = false;
-            caller.write(Type.NOOP);
+            connection.write(Type.NOOP);
         }
-        if (grab == null) {
-            grab = door.kit.wheel().at(door.kit.clock().nowMs() + GRAB_MS, this::notGrabbed);
+        if (grabTimer == null) {
+            grabTimer = front.context.wheel().at(front.context.clock().nowMs() + GRAB_TIMEOUT_MS, this::onGrabTimeout);
         }
     }
 
-    private void notGrabbed() {
-        grab = null;
+    private void onGrabTimeout() {
+        grabTimer = null;
         if (!busy) {
-            door.kit.counters().count("gearman.not_grabbed");
-            door.book.strike(caller.clientId());
-            absent = true;
-            relist();
-            handBack();
+            front.context.counters().count("gearman.not_grabbed");
+            front.workerHistory.countMissedGrab(connection.clientId());
+            withheld = true;
+            reportNodeIfChanged();
+            returnQueued();
         }
     }
 
-    private void handBack() {
-        for (Attempt a = waiting.poll(); a != null; a = waiting.poll()) {
-            a.ended(Ending.CONNECT_FAILED, null);
+    private void returnQueued() {
+        for (Attempt attempt = queued.poll(); attempt != null; attempt = queued.poll()) {
+            attempt.ended(Ending.CONNECT_FAILED, null);
         }
     }
 
     /** The worker's connection is gone. */
-    void lost() {
+    void onDisconnected() {
         lost = true;
-        if (grab != null) {
-            grab.cancel();
+        if (grabTimer != null) {
+            grabTimer.cancel();
         }
-        if (!waiting.isEmpty()) {
-            door.book.strike(caller.clientId());
+        if (!queued.isEmpty()) {
+            front.workerHistory.countMissedGrab(connection.clientId());
         }
         if (ready) {
-            door.book.left(caller.clientId(), door.kit.clock().nowMs());
+            front.workerHistory.onDisconnected(
+                    connection.clientId(), front.context.clock().nowMs());
         }
-        limits.keySet().forEach(f -> f.workers--);
-        list();
-        handBack();
-        Attempt a = end();
-        if (a != null) {
-            a.ended(Ending.RESET, null);
+        timeoutsMs.keySet().forEach(function -> function.workers--);
+        reportNode();
+        returnQueued();
+        Attempt attempt = clearRunning();
+        if (attempt != null) {
+            attempt.ended(Ending.RESET, null);
         }
     }
 
     @Override
     public void send(Attempt attempt) {
         if (lost
-                || told != Phase.SERVING
-                || !limits.containsKey(door.functions.of(attempt.sheet().work().kind()))) {
+                || reportedPhase != Phase.SERVING
+                || !timeoutsMs.containsKey(
+                        front.functions.get(attempt.sheet().work().kind()))) {
             attempt.ended(Ending.FULL, null);
             return;
         }
-        waiting.add(attempt);
+        queued.add(attempt);
         wake();
     }
 
     @Override
     public void giveUp(Attempt attempt) {
-        waiting.remove(attempt);
+        queued.remove(attempt);
         if (running == attempt) {
             running = null; // the protocol has no word for it: the worker goes on and is busy until it ends
-            relist();
+            reportNodeIfChanged();
         }
     }
 
@@ -402,10 +412,10 @@
                 lost ? Ending.CONNECT_FAILED : Ending.OK,
                 new LoadReport(
                         busy ? 1 : 0,
-                        waiting.size(),
+                        queued.size(),
                         Double.NaN,
                         Double.NaN,
-                        1 - (busy ? 1 : 0) - waiting.size(),
+                        1 - (busy ? 1 : 0) - queued.size(),
                         Double.NaN));
     }
 
--- a/src/test/java/plumpost/gearman/GearmanTest.java
+++ b/src/test/java/plumpost/gearman/GearmanTest.java
@@ -13,13 +13,14 @@
 
     /** Guards places against strangers that say nothing; who has spoken is never shed. */
     @Test
-    void aSilentCallerIsShed() {
-        Scenario s = new Scenario(0).play("plug1 send ECHO_REQ|a\nplug1 expect ECHO_RES|a\nplug2 expect nothing");
-        assertThat(s.gearman.shed()).as("a newcomer").isFalse();
-        s.play("wait 200");
-        assertThat(s.gearman.shed()).isTrue();
-        s.play("plug2 expect closed\nplug1 expect nothing");
-        assertThat(s.gearman.shed()).isFalse();
+    void silentConnectionIsClosed() {
+        Scenario scenario =
+                new Scenario(0).play("plug1 send ECHO_REQ|a\nplug1 expect ECHO_RES|a\nplug2 expect nothing");
+        assertThat(scenario.gearman.closeSilentConnection()).as("a newcomer").isFalse();
+        scenario.play("wait 200");
+        assertThat(scenario.gearman.closeSilentConnection()).isTrue();
+        scenario.play("plug2 expect closed\nplug1 expect nothing");
+        assertThat(scenario.gearman.closeSilentConnection()).isFalse();
     }
 
     private static final String WORKER = """
@@ -48,7 +49,7 @@
 
     /** Guards the plain path: created, woken, assigned, news, complete; the worker is told each word of the job. */
     @Test
-    void aJobIsAssignedAndCompletes() {
+    void jobIsAssignedAndCompletes() {
         play("""
             plug1 send SUBMIT_JOB|pickup-order|u|towels
             plug1 expect JOB_CREATED|H:t:*
@@ -75,13 +76,13 @@
 
     /** Guards against an order that runs twice when its worker is lost: it fails; one not grabbed goes on. */
     @Test
-    void anOrderWhoseWorkerIsLostFails() {
+    void orderFailsWhenItsWorkerIsLost() {
         play(assigned("SUBMIT_JOB|pickup-order||towels") + """
             plug9 close
             plug1 expect WORK_FAIL|H:t:*
             plug1 expect nothing
             """);
-        Scenario s = play("""
+        Scenario scenario = play("""
             plug1 send SUBMIT_JOB|pickup-order||towels
             plug1 expect JOB_CREATED|*
             plug9 close
@@ -94,12 +95,12 @@
             plug8 send WORK_COMPLETE|$|van
             plug1 expect WORK_COMPLETE|H:t:*|van
             """);
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
     }
 
     /** Guards that a route plan whose worker is lost goes to another one. */
     @Test
-    void aRoutePlanWhoseWorkerIsLostGoesAgain() {
+    void routePlanIsRetriedWhenItsWorkerIsLost() {
         play(assigned("SUBMIT_JOB_HIGH|route-plan||x") + """
             plug9 close
             plug1 expect nothing
@@ -116,8 +117,8 @@
 
     /** Guards the hard case of a resubmit: its client left, it joins the run, and later gets the kept outcome. */
     @Test
-    void aResubmitNeverRunsTwice() {
-        Scenario s = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
+    void resubmittedOrderNeverRunsTwice() {
+        Scenario scenario = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
             plug1 close
             plug2 send SUBMIT_JOB|pickup-order|u|towels
             plug2 expect JOB_CREATED|*
@@ -132,30 +133,30 @@
             plug4 expect WORK_COMPLETE|*|van
             plug9 expect nothing
             """);
-        assertThat(s.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
     /** Guards the key that stands for the data itself, however long that is. */
     @Test
-    void theDataMayBeTheKey() {
+    void dataServesAsUniqueKey() {
         String data = "x".repeat(5000);
-        Scenario s = play("plug1 send SUBMIT_JOB|pickup-order|-|" + data + "\nplug1 expect JOB_CREATED|*\n"
+        Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order|-|" + data + "\nplug1 expect JOB_CREATED|*\n"
                 + "plug2 send SUBMIT_JOB|pickup-order|-|" + data + "\nplug2 expect JOB_CREATED|*\n"
                 + "plug2 send SUBMIT_JOB|pickup-order|-|other\nplug2 expect JOB_CREATED|*\n");
-        assertThat(s.counters.of("jobs.joined")).isEqualTo(1);
+        assertThat(scenario.counters.of("jobs.joined")).isEqualTo(1);
     }
 
     /** Guards against a peer that sends a packet byte by byte for ever. */
     @Test
-    void aPacketThatNeverEndsIsCutOff() {
+    void unfinishedPacketTimesOut() {
         String drip = "plug1 send \"\\0\"\nwait 4000\nplug1 send \"R\"\nwait 4000\nplug1 send \"E\"\nwait 4000\n";
         new Scenario(0).play(drip + "plug1 expect ERROR|timeout|*\nplug1 expect closed");
     }
 
     /** Guards that the kept outcome of a failed order is its failure, not a new run. */
     @Test
-    void aResubmitOfAFailedOrderFails() {
-        Scenario s = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
+    void resubmittedFailedOrderFails() {
+        Scenario scenario = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
             plug9 send WORK_EXCEPTION|$|no van
             plug1 expect WORK_FAIL|*
             plug9 send WORK_FAIL|$
@@ -164,12 +165,12 @@
             plug1 expect JOB_CREATED|*
             plug1 expect WORK_FAIL|*
             """);
-        assertThat(s.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
     /** Guards the one answer in time: a worker that never ends, and a class that no worker runs. */
     @Test
-    void theDeadlineIsAWorkFail() {
+    void missedDeadlineIsAnsweredWithWorkFail() {
         play(assigned("SUBMIT_JOB|pickup-order||x") + """
             wait 19900
             plug1 expect nothing
@@ -185,7 +186,7 @@
 
     /** Guards that a full ledger is told at once, names its limits and says when to come back. */
     @Test
-    void aFullLedgerSaysWhenToComeBack() {
+    void fullJobLimitNamesItsSettingsAndRetryTime() {
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 64; i++) {
             many.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
@@ -204,7 +205,7 @@
 
     /** Guards drains: after CANT_DO nothing new of that class, what was not grabbed goes back, the rest goes on. */
     @Test
-    void cantDoIsADrain() {
+    void cantDoDrainsTheFunction() {
         play("""
             plug1 send SUBMIT_JOB|route-plan||x
             plug1 expect JOB_CREATED|*
@@ -229,28 +230,28 @@
 
     /** Guards cold workers: a fresh one is not given jobs beyond what it may warm up on. */
     @Test
-    void aFreshWorkerIsNotFlooded() {
+    void coldWorkerGetsFewJobs() {
         StringBuilder many = new StringBuilder("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP\n");
         for (int i = 0; i < 20; i++) {
             many.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
         }
-        Scenario s = new Scenario(0).play(many + "wait 100");
-        assertThat(s.counters.of("attempts.out")).isLessThanOrEqualTo(1);
-        s.play("wait 700");
-        assertThat(s.counters.of("attempts.out")).isPositive();
+        Scenario scenario = new Scenario(0).play(many + "wait 100");
+        assertThat(scenario.counters.of("attempts.out")).isLessThanOrEqualTo(1);
+        scenario.play("wait 700");
+        assertThat(scenario.counters.of("attempts.out")).isPositive();
     }
 
     /** Guards the worker that sleeps on: what it does not grab in a second goes elsewhere, never having run. */
     @Test
-    void whatIsNotGrabbedGoesElsewhere() {
-        Scenario s = play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*\nwait 1010");
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(1);
-        s.play("plug1 expect nothing");
+    void jobThatIsNotGrabbedGoesToAnotherWorker() {
+        Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*\nwait 1010");
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        scenario.play("plug1 expect nothing");
     }
 
     /** Guards the worker's own limit: CAN_DO_TIMEOUT ends the attempt, and the order is not sent again. */
     @Test
-    void aWorkersOwnLimitEndsTheAttempt() {
+    void canDoTimeoutEndsTheAttempt() {
         new Scenario(0)
                 .play("plug9 send CAN_DO_TIMEOUT|pickup-order|2\nplug9 send PRE_SLEEP\nwait 500\n"
                         + assigned("SUBMIT_JOB|pickup-order||x") + """
@@ -261,7 +262,7 @@
 
     /** Guards both ways across: an HTTP front desk served by a Gearman worker, a Gearman client by an HTTP node. */
     @Test
-    void eitherFrontIsServedByEitherKindOfNode() {
+    void bothFrontsAreServedByBothKindsOfNode() {
         play("""
             desk1 send POST /pickup-order a 20000 towels
             plug9 expect NOOP
@@ -279,7 +280,7 @@
 
     /** Guards the admin's lines. */
     @Test
-    void adminLinesAreAnswered() {
+    void adminCommandsAreAnswered() {
         play("""
             plug9 send SET_CLIENT_ID|old van
             plug1 send SUBMIT_JOB_BG|route-plan||x
@@ -319,7 +320,7 @@
         "OPTION_REQ|magic,unknown_option",
         "SUBMIT_JOB_EPOCH|route-plan|u|soon|x,bad_time"
     })
-    void whatIsNotOfferedIsAnError(String packet, String code) {
+    void unsupportedRequestIsAnsweredWithError(String packet, String code) {
         new Scenario(0)
                 .play("plug1 send " + packet + "\nplug1 expect ERROR|" + code + "|*\nplug1 send ECHO_REQ|x\n"
                         + "plug1 expect ECHO_RES|x");
--- a/src/test/java/plumpost/gearman/HardCasesTest.java
+++ b/src/test/java/plumpost/gearman/HardCasesTest.java
@@ -21,7 +21,7 @@
 /** Hard cases of the Gearman front, in memory: wake-ups, flapping, returns, floods and hostile bytes. */
 class HardCasesTest {
     private static GearmanConfig config(double holdMs, int openJobs) {
-        GearmanConfig.Limits u = GearmanConfig.Limits.USUAL;
+        GearmanConfig.Limits defaults = GearmanConfig.Limits.USUAL;
         return new GearmanConfig(
                 null,
                 0,
@@ -32,14 +32,14 @@
                 holdMs,
                 Set.of(),
                 new GearmanConfig.Limits(
-                        u.packetBytes(),
-                        u.readingBytes(),
+                        defaults.packetBytes(),
+                        defaults.readingBytes(),
                         0,
-                        u.functions(),
+                        defaults.functions(),
                         0,
-                        u.jobsPerClient(),
+                        defaults.jobsPerClient(),
                         10,
-                        u.scheduledBytes(),
+                        defaults.scheduledBytes(),
                         openJobs,
                         0,
                         0));
@@ -88,27 +88,27 @@
     }
 
     /** A worker that does as the protocol's text says, a packet at a time. */
-    private static final class Automaton {
+    private static final class SimulatedWorker {
         private final Peers peers;
         private int state; // 0 not there, 1 to grab, 2 waits for the grab's answer, 3 sleeps, 4 has a job
         private Packet job;
-        int done;
+        int completed;
 
-        Automaton(Peers peers) {
+        SimulatedWorker(Peers peers) {
             this.peers = peers;
         }
 
         /** Takes its next step; false if there is nothing to do. */
         boolean step() {
-            for (Packet p : state == 0 ? List.<Packet>of() : peers.read("w")) {
-                state = switch (p.type()) {
+            for (Packet packet : state == 0 ? List.<Packet>of() : peers.read("w")) {
+                state = switch (packet.type()) {
                     case NOOP -> state == 3 ? 1 : state; // a NOOP that crosses anything else means nothing
                     case NO_JOB -> 5;
                     case JOB_ASSIGN -> {
-                        job = p;
+                        job = packet;
                         yield 4;
                     }
-                    default -> throw new AssertionError(p);
+                    default -> throw new AssertionError(packet);
                 };
             }
             switch (state) {
@@ -122,7 +122,7 @@
                 }
                 case 4 -> {
                     peers.send("w", Type.WORK_COMPLETE, job.parts().get(0), "r");
-                    done++;
+                    completed++;
                     state = 1;
                 }
                 case 5 -> {
@@ -140,15 +140,15 @@
     /** Guards against a lost wake-up: two jobs that come at any two points of a worker's life are both done at once. */
     @Test
     void noWakeUpIsLostInAnyOrderOfEvents() {
-        int orders = 0;
+        int cases = 0;
         for (double hold : new double[] {0, 10}) {
             for (double gap : new double[] {0, 4, 12}) {
                 for (int first = 0; first <= 9; first++) {
                     for (int second = first; second <= 9; second++) {
-                        orders++;
-                        Scenario s = scenario(0, hold, 64);
-                        Peers peers = new Peers(s);
-                        Automaton worker = new Automaton(peers);
+                        cases++;
+                        Scenario scenario = scenario(0, hold, 64);
+                        Peers peers = new Peers(scenario);
+                        SimulatedWorker worker = new SimulatedWorker(peers);
                         for (int step = 0; step <= 9; step++) {
                             for (int n = (step == first ? 1 : 0) + (step == second ? 1 : 0); n > 0; n--) {
                                 peers.send("c", Type.SUBMIT_JOB, "route-plan", "", "x");
@@ -156,26 +156,26 @@
                             worker.step();
                             peers.rig.pass(gap);
                         }
-                        for (int i = 0; i < 30 && worker.done < 2; i++) {
+                        for (int i = 0; i < 30 && worker.completed < 2; i++) {
                             if (!worker.step()) {
                                 peers.rig.pass(2);
                             }
                         }
-                        assertThat(worker.done)
+                        assertThat(worker.completed)
                                 .as("jobs at %d and %d, hold %s, gap %s", first, second, hold, gap)
                                 .isEqualTo(2);
-                        assertThat(s.counters.of("gearman.not_grabbed")).isZero();
+                        assertThat(scenario.counters.of("gearman.not_grabbed")).isZero();
                     }
                 }
             }
         }
-        assertThat(orders).isEqualTo(330);
+        assertThat(cases).isEqualTo(330);
     }
 
     /** Guards warmth: a worker that comes back under its client id is given work at once, a stranger is not. */
     @Test
-    void aWorkerThatComesBackIsNotColdAgain() {
-        Scenario s = scenario(4000, 0, 64).play("""
+    void returningWorkerIsNotColdAgain() {
+        Scenario scenario = scenario(4000, 0, 64).play("""
             plug9 send SET_CLIENT_ID|van
             plug9 send CAN_DO|route-plan
             plug9 send PRE_SLEEP
@@ -183,7 +183,7 @@
             plug9 close
             wait 1000
             """);
-        s.play("""
+        scenario.play("""
             plug8 send SET_CLIENT_ID|van
             plug8 send CAN_DO|route-plan
             plug8 send PRE_SLEEP
@@ -191,7 +191,7 @@
             plug1 expect JOB_CREATED|*
             plug8 expect NOOP
             """);
-        s = scenario(4000, 0, 64).play("""
+        scenario = scenario(4000, 0, 64).play("""
             plug9 send SET_CLIENT_ID|van
             plug9 send CAN_DO|route-plan
             plug9 send PRE_SLEEP
@@ -203,19 +203,20 @@
 
     /** Guards jobs from a worker that flaps: each time it leaves a job ungrabbed it is taken back later. */
     @Test
-    void aWorkerThatFlapsCostsLessAndLess() {
-        Scenario s = scenario(0, 0, 64).play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*");
-        String come = """
+    void flappingWorkerIsListedLaterEachTime() {
+        Scenario scenario =
+                scenario(0, 0, 64).play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*");
+        String connect = """
             plug9 send SET_CLIENT_ID|flap
             plug9 send CAN_DO|pickup-order
             plug9 send PRE_SLEEP
             """;
-        s.play(come + "plug9 expect NOOP\nplug9 close\n" + come + "plug9 expect nothing\nplug9 close");
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(1);
-        s.play("wait 600\n" + come + "wait 110\nplug9 expect NOOP\nplug9 close\n" + come
+        scenario.play(connect + "plug9 expect NOOP\nplug9 close\n" + connect + "plug9 expect nothing\nplug9 close");
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        scenario.play("wait 600\n" + connect + "wait 110\nplug9 expect NOOP\nplug9 close\n" + connect
                 + "wait 110\nplug9 expect nothing\nplug9 close");
-        assertThat(s.counters.of("attempts.connect_failed")).isEqualTo(2);
-        s.play("""
+        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(2);
+        scenario.play("""
             plug8 send SET_CLIENT_ID|good
             plug8 send CAN_DO|pickup-order
             plug8 send PRE_SLEEP
@@ -230,25 +231,25 @@
 
     /** Guards other jobs from a worker that is there and never grabs: it costs one job a second, once. */
     @Test
-    void aWorkerThatNeverGrabsGetsOneJob() {
-        Scenario s = scenario(0, 0, 64).play("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP");
+    void workerThatNeverGrabsGetsOneJob() {
+        Scenario scenario = scenario(0, 0, 64).play("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP");
         for (int i = 0; i < 20; i++) {
-            s.play("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*");
+            scenario.play("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*");
         }
-        s.play("wait 5000");
-        assertThat(s.counters.of("attempts.out")).isEqualTo(1);
-        assertThat(s.counters.of("gearman.not_grabbed")).isEqualTo(1);
-        s.play("plug9 send GRAB_JOB\nwait 100");
-        assertThat(s.counters.of("attempts.out"))
+        scenario.play("wait 5000");
+        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.of("gearman.not_grabbed")).isEqualTo(1);
+        scenario.play("plug9 send GRAB_JOB\nwait 100");
+        assertThat(scenario.counters.of("attempts.out"))
                 .as("its grab shows that it is there")
                 .isGreaterThan(1);
     }
 
     /** Guards memory and time with 100,000 background jobs at once, which all get done in their order. */
     @Test
-    void aHundredThousandBackgroundJobsAtOnce() {
-        Scenario s = scenario(0, 10, 100_000);
-        Peers peers = new Peers(s);
+    void hundredThousandBackgroundJobsComplete() {
+        Scenario scenario = scenario(0, 10, 100_000);
+        Peers peers = new Peers(scenario);
         for (int i = 0; i < 100_000; i++) {
             peers.send("c" + i % 2, Type.SUBMIT_JOB_BG, "route-plan", "", "");
             assertThat(peers.read("c" + i % 2).get(0).type()).isEqualTo(Type.JOB_CREATED);
@@ -257,27 +258,27 @@
         assertThat(peers.read("c"))
                 .singleElement()
                 .satisfies(p -> assertThat(p.text(0)).isEqualTo("full"));
-        Automaton worker = new Automaton(peers);
-        for (int i = 0; worker.done < 100_000 && i < 400_000; i++) {
+        SimulatedWorker worker = new SimulatedWorker(peers);
+        for (int i = 0; worker.completed < 100_000 && i < 400_000; i++) {
             worker.step();
         }
-        assertThat(worker.done).isEqualTo(100_000);
-        assertThat(s.room.open()).isZero();
+        assertThat(worker.completed).isEqualTo(100_000);
+        assertThat(scenario.room.open()).isZero();
     }
 
     /** Guards the list of a full ledger: it comes whole, in pieces, and a second one at the same time is told to wait. */
     @Test
-    void aLongListComesInPieces() {
-        Scenario s = scenario(0, 0, 20_000);
-        Peers peers = new Peers(s);
+    void longListIsWrittenInChunks() {
+        Scenario scenario = scenario(0, 0, 20_000);
+        Peers peers = new Peers(scenario);
         for (int i = 0; i < 20_000; i++) {
             peers.send("c", Type.SUBMIT_JOB_BG, "route-plan", "", "");
             peers.read("c");
         }
         peers.rig.send("a", "show jobs\n".getBytes(StandardCharsets.US_ASCII));
-        String all = new String(peers.rig.take("a", 0), StandardCharsets.US_ASCII);
-        assertThat(all.lines().count()).isEqualTo(20_001);
-        assertThat(all).endsWith("\n.\n");
+        String list = new String(peers.rig.take("a", 0), StandardCharsets.US_ASCII);
+        assertThat(list.lines().count()).isEqualTo(20_001);
+        assertThat(list).endsWith("\n.\n");
         peers.rig.send("a", "version\n".getBytes(StandardCharsets.US_ASCII));
         assertThat(new String(peers.rig.take("a", 0), StandardCharsets.US_ASCII))
                 .startsWith("OK ");
@@ -285,9 +286,9 @@
 
     /** Guards the cost of a newcomer: 5,000 workers come within a second of the clock, and work is given to them. */
     @Test
-    void fiveThousandWorkersComeWithinASecond() {
-        Scenario s = scenario(1000, 0, 6000);
-        Peers peers = new Peers(s);
+    void fiveThousandWorkersConnectWithinASecond() {
+        Scenario scenario = scenario(1000, 0, 6000);
+        Peers peers = new Peers(scenario);
         for (int i = 0; i < 5000; i++) {
             peers.send("plug-w" + i, Type.CAN_DO, "route-plan");
             peers.send("plug-w" + i, Type.PRE_SLEEP);
@@ -309,29 +310,31 @@
 
     /** Guards memory against heads that claim much: what came counts, over all connections, and the rest is passed over. */
     @Test
-    void packetsUnderWayShareABudget() {
+    void unfinishedPacketsShareABudget() {
         PacketReader.Budget budget = new PacketReader.Budget(10_000);
-        PacketReader a = new PacketReader(Packet.REQUEST, true, 1 << 20, budget);
-        PacketReader b = new PacketReader(Packet.REQUEST, true, 1 << 20, budget);
+        PacketReader first = new PacketReader(Packet.REQUEST, true, 1 << 20, budget);
+        PacketReader second = new PacketReader(Packet.REQUEST, true, 1 << 20, budget);
         ByteBuffer head =
                 ByteBuffer.allocate(12).putInt(Packet.REQUEST).putInt(16).putInt(900_000);
-        assertThat(feed(a, head.flip().array())).isEmpty();
-        assertThat(budget.held()).as("what came counts, not what is claimed").isEqualTo(4096);
-        assertThat(feed(b, head.array())).isEmpty();
-        assertThat(feed(a, new byte[7000])).containsExactly("memory");
-        assertThat(budget.held()).isEqualTo(4096);
-        b.end();
-        assertThat(budget.held()).isZero();
-        assertThat(feed(a, new byte[893_000])).isEmpty();
-        assertThat(a.midway()).as("the rest of it is passed over").isFalse();
+        assertThat(errorCodes(first, head.flip().array())).isEmpty();
+        assertThat(budget.reservedBytes())
+                .as("what came counts, not what is claimed")
+                .isEqualTo(4096);
+        assertThat(errorCodes(second, head.array())).isEmpty();
+        assertThat(errorCodes(first, new byte[7000])).containsExactly("memory");
+        assertThat(budget.reservedBytes()).isEqualTo(4096);
+        second.release();
+        assertThat(budget.reservedBytes()).isZero();
+        assertThat(errorCodes(first, new byte[893_000])).isEmpty();
+        assertThat(first.inProgress()).as("the rest of it is passed over").isFalse();
     }
 
-    private static List<String> feed(PacketReader r, byte[] bytes) {
+    private static List<String> errorCodes(PacketReader reader, byte[] bytes) {
         List<String> codes = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        while (in.hasRemaining()) {
+        ByteBuffer input = ByteBuffer.wrap(bytes);
+        while (input.hasRemaining()) {
             try {
-                r.next(in);
+                reader.next(input);
             } catch (PacketReader.BadPacket e) {
                 codes.add(e.code());
                 if (e.fatal()) {
@@ -344,10 +347,10 @@
 
     /** Guards the doors against mutated packets: no fault is counted, and another client's job goes through. */
     @Property(tries = 400, seed = "400")
-    void mutatedPacketsCostOthersNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int packets) {
+    void mutatedPacketsDoNotAffectOtherClients(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int packets) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
-        Scenario s = scenario(0, 0, 64);
-        Peers peers = new Peers(s);
+        Scenario scenario = scenario(0, 0, 64);
+        Peers peers = new Peers(scenario);
         peers.send("good", Type.SUBMIT_JOB, "pickup-order", "", "towels");
         String handle = peers.read("good").get(0).text(0);
         for (int i = 0; i < packets; i++) {
@@ -360,7 +363,7 @@
             if (type.name().startsWith("SUBMIT")) {
                 arguments = new Object[] {"route-plan"}; // its own jobs would be the worker's too: malformed ones only
             }
-            byte[] bytes = one(Packet.bytes(Packet.REQUEST, type, arguments));
+            byte[] bytes = concatenate(Packet.bytes(Packet.REQUEST, type, arguments));
             for (int flips = random.nextInt(3); flips > 0 && bytes.length > 0; flips--) {
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
@@ -372,58 +375,59 @@
             assertThat(p.type()).isEqualTo(Type.JOB_ASSIGN);
             assertThat(p.text(0)).isEqualTo(handle);
         });
-        assertThat(s.log).noneMatch(l -> l.contains("fault"));
-        assertThat(s.room.open()).isPositive();
-        assertThat(s.counters.toString()).doesNotContain("guard.");
+        assertThat(scenario.log).noneMatch(l -> l.contains("fault"));
+        assertThat(scenario.room.open()).isPositive();
+        assertThat(scenario.counters.toString()).doesNotContain("guard.");
     }
 
     /** Guards the reader against any bytes, cut anywhere: it tells packets, lines or what is bad, and holds no more. */
     @Property(tries = 500, seed = "500")
-    void anyBytesCutAnywhereReadTheSame(@ForAll byte[] bytes, @ForAll @IntRange(min = 1, max = 7) int cut) {
+    void splitInputIsReadLikeWholeInput(@ForAll byte[] bytes, @ForAll @IntRange(min = 1, max = 7) int chunkSize) {
         PacketReader.Budget budget = new PacketReader.Budget(1 << 16);
         PacketReader whole = new PacketReader(Packet.REQUEST, true, 4096, budget);
         PacketReader pieces = new PacketReader(Packet.REQUEST, true, 4096, budget);
         List<String> inPieces = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += cut) {
-            List<String> some = told(pieces, java.util.Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + cut)));
-            inPieces.addAll(some);
-            if (!some.isEmpty() && some.get(some.size() - 1).startsWith("!")) {
+        for (int offset = 0; offset < bytes.length; offset += chunkSize) {
+            List<String> chunk = readAll(
+                    pieces, java.util.Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + chunkSize)));
+            inPieces.addAll(chunk);
+            if (!chunk.isEmpty() && chunk.get(chunk.size() - 1).startsWith("!")) {
                 break;
             }
         }
-        assertThat(told(whole, bytes)).isEqualTo(inPieces);
-        whole.end();
-        pieces.end();
-        assertThat(budget.held()).isZero();
+        assertThat(readAll(whole, bytes)).isEqualTo(inPieces);
+        whole.release();
+        pieces.release();
+        assertThat(budget.reservedBytes()).isZero();
     }
 
-    private static List<String> told(PacketReader r, byte[] bytes) {
-        List<String> told = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        while (in.hasRemaining()) {
+    private static List<String> readAll(PacketReader reader, byte[] bytes) {
+        List<String> results = new ArrayList<>();
+        ByteBuffer input = ByteBuffer.wrap(bytes);
+        while (input.hasRemaining()) {
             try {
-                Packet p = r.next(in);
-                String line = p == null ? r.line() : null;
-                if (p != null || line != null) {
-                    told.add(p == null ? line : p.type().name());
+                Packet packet = reader.next(input);
+                String line = packet == null ? reader.takeLine() : null;
+                if (packet != null || line != null) {
+                    results.add(packet == null ? line : packet.type().name());
                 }
             } catch (PacketReader.BadPacket e) {
-                told.add((e.fatal() ? "!" : "?") + e.code());
+                results.add((e.fatal() ? "!" : "?") + e.code());
                 if (e.fatal()) {
-                    return told;
+                    return results;
                 }
             }
         }
-        return told;
+        return results;
     }
 
-    private static byte[] one(ByteBuffer[] parts) {
-        java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
-        for (ByteBuffer b : parts) {
-            byte[] some = new byte[b.remaining()];
-            b.get(some);
-            all.writeBytes(some);
+    private static byte[] concatenate(ByteBuffer[] parts) {
+        java.io.ByteArrayOutputStream joined = new java.io.ByteArrayOutputStream();
+        for (ByteBuffer part : parts) {
+            byte[] bytes = new byte[part.remaining()];
+            part.get(bytes);
+            joined.writeBytes(bytes);
         }
-        return new String(all.toByteArray(), StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.ISO_8859_1);
+        return new String(joined.toByteArray(), StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.ISO_8859_1);
     }
 }
