--- a/src/main/java/plumpost/gearman/GearmanConnection.java
+++ b/src/main/java/plumpost/gearman/GearmanConnection.java
@@ -6,14 +6,17 @@
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 
-/** One Gearman connection: a client, a worker, an admin, or all of them. Reads packets and hands them to its sides. */
+/**
+ * One Gearman connection, whose peer may act as client, worker and admin at once. Reads packets and admin lines and
+ * passes them to the part that handles them.
+ */
 final class GearmanConnection implements ConnectionHandler {
-    /** A packet on its way for longer than this, and than its size at a slow link's pace, ends the connection. */
+    /** A packet that is unfinished for this long, plus its size at {@link #MIN_BYTES_PER_MS}, ends the connection. */
     private static final double SLOW_GRACE_MS = 10_000;
 
     private static final double MIN_BYTES_PER_MS = 16;
 
-    /** Bytes of a long answer that are written at a time. */
+    /** Bytes of a long admin answer that are written at a time. */
     private static final int ANSWER_CHUNK_BYTES = 64 * 1024;
 
     final Connection connection;
@@ -45,23 +48,24 @@
         }
     }
 
-    /** True when a packet has been under way in either direction for too long. */
+    /** Whether a packet has been unfinished for too long, in either direction. */
     boolean isSlow(double nowMs) {
         boolean pending = reader.inProgress() || !connection.flushed();
         pendingSinceMs = !pending ? Double.NaN : Double.isNaN(pendingSinceMs) ? nowMs : pendingSinceMs;
         return pending && nowMs - pendingSinceMs > SLOW_GRACE_MS + reader.claimedBytes() / MIN_BYTES_PER_MS;
     }
 
-    /** How long it has been connected without a byte; 0 once one came. */
+    /** How long the connection has been open without receiving a byte; 0 once it has received one. */
     double silentMs(double nowMs) {
         return hasReceivedBytes ? 0 : nowMs - connectedAtMs;
     }
 
+    /** The worker's side, or null if the peer has sent no worker packet. */
     WorkerSession worker() {
         return worker;
     }
 
-    /** What the worker calls itself, or null. */
+    /** The client id that the peer has set, or null. */
     String clientId() {
         return clientId;
     }
@@ -70,6 +74,7 @@
         return connectedAtMs;
     }
 
+    /** Returns the connection's line in the answer to the admin command {@code workers}. */
     String describe() {
         StringBuilder text =
                 new StringBuilder(number + " " + connection.peer() + ' ' + (clientId == null ? "-" : clientId) + " :");
@@ -92,14 +97,14 @@
         }
     }
 
-    /** Reads what has come from the peer, its end among it, unless that is under way already. */
+    /** Reads what the socket holds, including its end, unless a read is running already. */
     void readAvailable() {
         if (!closed && !reading) {
             connection.look();
         }
     }
 
-    /** Takes the next packet or line; false for want of bytes. */
+    /** Handles the next packet or line. Returns false if more bytes are needed. */
     private boolean readNext(ByteBuffer input) {
         try {
             Packet packet = reader.next(input);
@@ -124,7 +129,10 @@
         }
     }
 
-    /** Writes an admin's answer; a long one in pieces as the peer reads, so that a full ledger's list is not held twice. */
+    /**
+     * Writes the answer to an admin line. A long answer is written in chunks as the peer reads, so that a list of many
+     * jobs is not held in memory twice; only one connection at a time may read a long answer.
+     */
     private void writeAdminAnswer(String answer) {
         adminAnswer = ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8));
         if (adminAnswer.remaining() > ANSWER_CHUNK_BYTES) {
@@ -159,7 +167,7 @@
         }
     }
 
-    /** Says what is wrong and ends the connection; what hangs on it ends as if the peer had left. */
+    /** Sends an ERROR packet and closes the connection; its jobs are treated as if the peer had disconnected. */
     void error(String code, String message) {
         front.context.counters().count("gearman.bad." + code);
         write(Type.ERROR, code, message);
@@ -188,8 +196,8 @@
                 client.onPacket(packet);
             }
             case ECHO_REQ -> write(Type.ECHO_RES, packet.parts().get(0));
-            case SET_CLIENT_ID -> clientId(packet.text(0));
-            case ALL_YOURS -> {} // the same for one server and its workers
+            case SET_CLIENT_ID -> setClientId(packet.text(0));
+            case ALL_YOURS -> {} // changes nothing: a worker of this one server gets its jobs in the same way
             case CAN_DO,
                     CAN_DO_TIMEOUT,
                     CANT_DO,
@@ -213,7 +221,7 @@
         }
     }
 
-    private void clientId(String text) {
+    private void setClientId(String text) {
         if (text.isEmpty() || text.length() > 256) {
             write(Type.ERROR, "client_id", "a client id of " + text.length() + " characters, not 1 to 256");
         } else {
--- a/src/main/java/plumpost/gearman/GearmanFront.java
+++ b/src/main/java/plumpost/gearman/GearmanFront.java
@@ -23,15 +23,21 @@
 import plumpost.peers.Fleet;
 import plumpost.time.TimerWheel;
 
-/** The Gearman front: takes clients and workers in; its workers are the route nodes of a node list of its own. */
+/**
+ * The Gearman front. Accepts connections of clients, workers and admins, and reports its workers to the core as the
+ * route nodes of its own node list.
+ */
 public final class GearmanFront implements NodeList, Front {
     private static final HexFormat HEX = HexFormat.of();
     private static final double SLOW_CHECK_INTERVAL_MS = 500;
-    /** A packet follows its connection at once: while places run short, one without is a stranger's after this. */
+    /**
+     * A connection that has sent nothing for this long may be closed when connections run out: a Gearman peer sends
+     * its first packet as soon as it has connected.
+     */
     private static final double SILENT_GRACE_MS = 100;
-    /** A scheduled job whose time has come while the ledger is full is tried again so often. */
+    /** Interval at which a scheduled job that is due is submitted again while the limits on open jobs are reached. */
     private static final double FULL_RETRY_MS = 100;
-    /** Scheduled jobs are due by the wall clock, which may step: it is looked at that often while one waits. */
+    /** Scheduled jobs are due by the wall clock, which may step, so it is read at least this often while one waits. */
     private static final double MAX_TIMER_MS = 1_000;
 
     final DispatchCore core;
@@ -48,17 +54,24 @@
     private final String handlePrefix;
     private final long idBase;
     private final Set<GearmanConnection> connections = new LinkedHashSet<>();
+    /** The connection that is reading an admin answer of more than one chunk, or null; one at a time bounds memory. */
     GearmanConnection longAnswerConnection;
+
     private TimerWheel.Timer scheduleTimer;
     private long idCount;
     private long acceptedCount;
     private boolean stopping;
-    /** Scheduled jobs are the fleet's where there is one; else null. */
+    /** Scheduled jobs that are planned with the fleet, or null without a fleet. */
     FleetJobs fleetJobs;
-    /** Covered orders, or null where the fleet covers none. */
+    /** Covered orders, or null if there is no fleet or it covers none. */
     FleetOrders fleetOrders;
 
-    /** A front whose handles carry the scheduler's name, and whose job ids start anew with each seed. */
+    /**
+     * Creates the front and adds its node list to the core. Handles carry the scheduler's name. Job ids count up from
+     * a value made from the seed and the start time, so that another run has other ids.
+     *
+     * @param shutdown run for the admin command {@code shutdown}
+     */
     public GearmanFront(NodeConfig node, String version, DispatchCore core, LoopContext context, Runnable shutdown) {
         this.config = node.gearman();
         this.handlePrefix = "H:" + node.name() + ':';
@@ -90,20 +103,23 @@
                         this::closeSilentConnection);
     }
 
-    /** Takes a connection in. */
+    /** Registers a new connection and returns the handler that reads its packets. */
     public ConnectionHandler accept(Connection connection) {
         GearmanConnection session = new GearmanConnection(this, connection, ++acceptedCount);
         connections.add(session);
         return session;
     }
 
-    /** Clients go on submitting on the connections they have, as new ones keep coming at the platform's, for a while. */
+    /** Keeps accepting jobs until clients that do not know of the shutdown yet may be refused. */
     @Override
     public void stop(double receivedAtMs, double newClientsMs) {
         context.wheel().at(receivedAtMs + newClientsMs, this::refuseNewJobs);
     }
 
-    /** From here on new jobs are answered with an error; what clients wait for goes on, the rest ends with the process. */
+    /**
+     * Answers new jobs with an error from now on. Jobs that a client waits for go on. Planned jobs that no worker has
+     * go back to the fleet; other background and scheduled jobs that no worker has are lost, and are counted.
+     */
     private void refuseNewJobs() {
         stopping = true;
         if (fleetJobs != null) {
@@ -126,7 +142,7 @@
         return connections.stream().allMatch(c -> c.connection.flushed());
     }
 
-    /** Its workers tell of themselves: there is nothing to ask for. */
+    /** Does nothing: workers announce themselves on their connections. */
     @Override
     public void watch() {}
 
@@ -142,11 +158,12 @@
         return HEX.toHexDigits(idBase + idCount++);
     }
 
+    /** The handle that clients and workers see for a job id; a covered order's id is its handle. */
     String handleOf(String id) {
         return fleetOrders != null && fleetOrders.isOpen(id) ? id : handlePrefix + id;
     }
 
-    /** The job id in a handle; handles of another scheduler name no job here. */
+    /** The job id in a handle; empty for the handle of another scheduler. */
     String jobId(String handle) {
         return handle.startsWith(handlePrefix) ? handle.substring(handlePrefix.length()) : "";
     }
@@ -161,13 +178,13 @@
 
     // ---- the fleet ----
 
-    /** From now on scheduled jobs are planned with a fleet. */
+    /** Plans scheduled jobs with a fleet from now on, and hands its covered orders to its ledger if it has one. */
     public void in(Fleet joinedFleet) {
         fleetJobs = new FleetJobs(this, joinedFleet);
         fleetOrders = joinedFleet.ledger() == null ? null : new FleetOrders(this, joinedFleet.ledger());
     }
 
-    /** The functions that have workers here. */
+    /** Returns the names of the functions that have workers here. */
     public List<String> served() {
         return functions.functions().stream()
                 .filter(function -> function.workers > 0)
@@ -175,12 +192,12 @@
                 .toList();
     }
 
-    /** Runs a planned job for the fleet; false where it cannot be taken now. */
+    /** Runs a planned job for the fleet. Returns false if it cannot be accepted now. */
     public boolean runPlanned(Fleet.Job job) {
         return fleetJobs.run(job);
     }
 
-    /** A planned job is not this scheduler's any more: called off where no worker has it. */
+    /** Cancels a planned job that is no longer this scheduler's, unless a worker has it. */
     public void callBack(String id) {
         fleetJobs.recall(id);
     }
@@ -192,7 +209,7 @@
         startScheduleTimer(atMs);
     }
 
-    /** Looks at the schedule at a Unix time, or earlier: the wall clock may step meanwhile. */
+    /** Starts the timer for the given Unix time or the first scheduled job, whichever is earlier. */
     private void startScheduleTimer(double unixMs) {
         if (scheduleTimer != null) {
             scheduleTimer.cancel();
@@ -204,6 +221,7 @@
         scheduleTimer = context.wheel().at(context.clock().nowMs() + waitMs, this::submitDueJobs);
     }
 
+    /** Submits the scheduled jobs that are due, while there is room for them. */
     private void submitDueJobs() {
         scheduleTimer = null;
         double nowUnixMs = context.unixTime().nowMs();
@@ -229,20 +247,24 @@
 
     // ---- connections ----
 
-    /** Ends the connection that has said nothing for longest; false while each has spoken or is new. */
+    /**
+     * Closes the oldest connection that has sent nothing, to make room for a new one. Returns false if every
+     * connection has sent something or is too new.
+     */
     public boolean closeSilentConnection() {
         double nowMs = context.clock().nowMs();
-        for (GearmanConnection connection : connections) { // in the order in which they came
-            if (connection.silentMs(nowMs) > SILENT_GRACE_MS) {
+        for (GearmanConnection candidate : connections) { // in the order in which they were accepted
+            if (candidate.silentMs(nowMs) > SILENT_GRACE_MS) {
                 context.counters().count("gearman.shed");
-                connections.remove(connection);
-                connection.connection.cut();
+                connections.remove(candidate);
+                candidate.connection.cut();
                 return true;
             }
         }
         return false;
     }
 
+    /** Closes the connections on which a packet has been unfinished for too long, and runs again after an interval. */
     private void closeSlowConnections() {
         double nowMs = context.clock().nowMs();
         for (GearmanConnection connection : new ArrayList<>(connections)) {
