--- a/src/main/java/plumpost/gearman/ClientSession.java
+++ b/src/main/java/plumpost/gearman/ClientSession.java
@@ -17,7 +17,7 @@
 import plumpost.peers.Fleet;
 import plumpost.peers.Ledger;
 
-/** A client's side of a connection: what it submits, asks and is told. */
+/** The client's side of a connection: its submissions, status requests and options, and the answers to them. */
 final class ClientSession {
     private static final int MAX_UNIQUE_LENGTH = 1024;
     private static final int MAX_DEFERRED_PACKETS = 256;
@@ -35,7 +35,10 @@
         this.connection = connection;
     }
 
-    /** Answers come in the order of the questions: what follows a job that the fleet is asked about waits for it. */
+    /**
+     * Handles a packet, or defers it while the fleet decides on an earlier job: answers are sent in the order of the
+     * requests.
+     */
     void onPacket(Packet packet) {
         if (!awaitingFleet) {
             process(packet);
@@ -46,7 +49,7 @@
         }
     }
 
-    /** Reads what has come from the client: it may have left. */
+    /** Reads what the client has sent, which may show that it has disconnected. */
     void readAvailable() {
         connection.readAvailable();
     }
@@ -157,19 +160,20 @@
                 openJob == null ? 0 : openJob.clients());
     }
 
+    /** The key under which the core and the schedule know a client's unique key: a function has its own keys. */
     static String uniqueKey(Function function, String unique) {
         return function.name + '\0' + unique;
     }
 
     // ---- submitting ----
 
-    /** Says why a job is not taken; the connection goes on. */
+    /** Counts and answers a rejected job with an ERROR packet; the connection stays open. */
     private void reject(String code, String message) {
         front.context.counters().count("gearman.not." + code);
         connection.write(Type.ERROR, code, message);
     }
 
-    /** The job in a packet whose data is the given argument, or null where it is not taken and that was said. */
+    /** Makes the job of a packet whose data is the given argument, or rejects it and returns null. */
     private JobRequest newJobRequest(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
         String name = packet.text(0);
         Function function = front.functions.findOrAdd(name);
@@ -228,7 +232,7 @@
         }
         Schedule.Entry scheduled = request.unique() == null ? null : front.schedule.findByUnique(request.unique());
         if (scheduled != null && !inBackground) {
-            // It is the same job, and neither must it run twice nor before the time that its first client named.
+            // The same job is scheduled: it must neither run twice nor before the time that its first client asked for.
             reject(
                     "scheduled",
                     front.handleOf(scheduled.request().id()) + " is to run at " + Math.round(scheduled.atMs() / 1000));
@@ -272,7 +276,10 @@
         }
     }
 
-    /** A covered order: the fleet's first, then its client is told; who comes again joins it, or gets its outcome. */
+    /**
+     * Submits a covered order. The client is answered once the fleet's ledger has accepted the order; a resubmitted
+     * order joins the existing one or gets its outcome.
+     */
     private void submitOrder(JobRequest request, boolean inBackground) {
         Ledger.Known existing =
                 front.fleetOrders.find(request.work().name(), request.work().unique());
@@ -292,6 +299,7 @@
         }
     }
 
+    /** Answers JOB_CREATED and, for a foreground job, waits for the order's outcome. */
     private void joinOrder(String handle, JobRequest request, boolean inBackground) {
         Submission submission = new Submission(inBackground ? null : this, handle);
         submission.announce(connection);
@@ -301,14 +309,14 @@
         }
     }
 
-    /** Takes what came while the fleet was asked. */
+    /** Handles the packets that were deferred while the fleet decided. */
     private void processDeferred() {
         while (!awaitingFleet && !deferredPackets.isEmpty()) {
             process(deferredPackets.poll());
         }
     }
 
-    /** Whether a limit is reached; says which. */
+    /** Rejects the job and returns true if a limit is reached; the ERROR packet names the limit. */
     private boolean rejectIfFull(JobRequest request) {
         Function function = front.functions.get(request.work().kind());
         int maxQueued = function.maxQueued[1 - request.work().priority()];
@@ -375,7 +383,7 @@
         Schedule.Entry existing = request.unique() == null ? null : front.schedule.findByUnique(request.unique());
         String exhaustedLimit = front.schedule.exhaustedLimit(request.body().remaining());
         if (openJob != null) {
-            connection.write(Type.JOB_CREATED, front.handleOf(openJob.sheet().id())); // the same job is open already
+            connection.write(Type.JOB_CREATED, front.handleOf(openJob.sheet().id())); // joins the open job
         } else if (existing != null) {
             connection.write(Type.JOB_CREATED, front.handleOf(existing.request().id()));
         } else if (front.fleetJobs != null) {
@@ -397,18 +405,18 @@
         }
     }
 
-    /** The key {@code -} stands for the data itself; a digest of it takes less room. */
+    /** Returns the key that {@code -} stands for: a digest of the data, which takes less memory than the data itself. */
     private static String digestOf(ByteBuffer data) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             sha256.update(data.duplicate());
             return "-" + HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException(e); // every Java platform has SHA-256
         }
     }
 
-    // ---- what submissions tell ----
+    // ---- calls of submissions and of the connection ----
 
     void write(Type type, Object... arguments) {
         connection.write(type, arguments);
@@ -418,7 +426,7 @@
         awaited.remove(submission);
     }
 
-    /** The client has gone: what only it waited for is given up. */
+    /** The client has disconnected: the core gives up jobs that only it waited for; covered orders go on. */
     void onDisconnected() {
         for (Submission submission : new ArrayList<>(List.copyOf(awaited))) {
             if (submission.openJob != null) {
--- a/src/main/java/plumpost/gearman/Submission.java
+++ b/src/main/java/plumpost/gearman/Submission.java
@@ -7,17 +7,19 @@
 import plumpost.dispatch.ReplyTo;
 import plumpost.gearman.Packet.Type;
 
-/** One job that a client has submitted: its JOB_CREATED, news, and one final packet where a client waits for it. */
+/** One submitted job: sends JOB_CREATED, progress and exactly one final packet to the client that waits for it. */
 final class Submission implements ReplyTo {
     private final ClientSession client;
     String handle;
     OpenJob openJob;
+    /** Packets that came before JOB_CREATED was sent, as the core may answer at once; null after it. */
     private List<Runnable> deferred = new ArrayList<>(0);
+
     private Runnable whenDone;
     private boolean done;
     private int sentBytes;
 
-    /** A submission; in the background, without a client who waits, where that is null. */
+    /** Creates a submission; a null client means a background job, for which nobody waits. */
     Submission(ClientSession client, String handle) {
         this.client = client;
         this.handle = handle;
@@ -43,7 +45,7 @@
         whenDone = action;
     }
 
-    /** JOB_CREATED comes first, also where the core has answered at once. */
+    /** Sends JOB_CREATED, then the packets that were deferred until it was sent. */
     void announce(GearmanConnection connection) {
         connection.write(Type.JOB_CREATED, handle);
         List<Runnable> packets = deferred;
--- a/src/main/java/plumpost/gearman/WorkerSession.java
+++ b/src/main/java/plumpost/gearman/WorkerSession.java
@@ -20,29 +20,36 @@
 import plumpost.time.TimerWheel;
 
 /**
- * A worker's side of a connection, as a route node: what the core sends waits here until the worker grabs it. What
- * has not been grabbed never ran; what was grabbed when the worker is lost may have run. It is listed from its first
- * grab or sleep on, and drains while it still works on a job that was given up, or sleeps through one it was woken for.
+ * The worker's side of a connection, which the core sees as a route node. Attempts that the core sends are queued until
+ * the worker grabs them. An attempt that was not grabbed never ran; one that was grabbed before the worker disconnects
+ * may have run. The node is listed from the worker's first grab or sleep on. It is reported as draining while the
+ * worker still runs a job that was given up, and after it has not grabbed a job that it was woken for.
  */
 final class WorkerSession implements NodeLink {
-    /** A worker that was woken grabs within this time, or what waits for it goes elsewhere. */
+    /** A worker must grab a job within this time after it was woken, or its queued attempts go elsewhere. */
     private static final double GRAB_TIMEOUT_MS = 1_000;
 
     private final GearmanFront front;
     private final GearmanConnection connection;
     private final String id;
+    /** The functions that the worker can do, each with the worker's own time limit; 0 means none. */
     private final Map<Function, Double> timeoutsMs = new LinkedHashMap<>(4);
+
     private final ArrayDeque<Attempt> queued = new ArrayDeque<>(2);
     private double upSinceMs = Double.NaN;
     private Attempt running;
     private String assignedHandle;
     private boolean busy;
     private boolean asleep;
+    /** The type of the grab that has no answer yet, or null. */
     private Type openGrab;
+
     private TimerWheel.Timer noJobTimer;
     private boolean ready;
     private boolean listed;
+    /** Gets no jobs for now, since the worker left a job ungrabbed. */
     private boolean withheld;
+
     private boolean lost;
     private Phase reportedPhase = Phase.DELETED;
     private TimerWheel.Timer grabTimer;
@@ -57,7 +64,7 @@
         return timeoutsMs.keySet();
     }
 
-    /** Tells the core what this node runs and whether it wants anything new; the first time only once it is ready. */
+    /** Reports the node's functions and phase to the core; does nothing before the worker is ready for the first time. */
     private void reportNode() {
         if (!listed && (!ready || timeoutsMs.isEmpty() || lost)) {
             return;
@@ -74,7 +81,7 @@
                 this));
     }
 
-    /** Lists it anew where it has become or ceased to be fit for something new. */
+    /** Reports the node again if it has begun or ceased to accept new jobs. */
     private void reportNodeIfChanged() {
         boolean canServe = !timeoutsMs.isEmpty() && !withheld && !(busy && running == null);
         if (listed && !lost && canServe != (reportedPhase == Phase.SERVING)) {
@@ -82,7 +89,7 @@
         }
     }
 
-    /** The worker says that it is there. One that left jobs ungrabbed before is given some time first. */
+    /** Lists the node on the worker's first grab or sleep; after a delay if it left jobs ungrabbed before. */
     private void onReady() {
         if (!ready) {
             ready = true;
@@ -112,7 +119,7 @@
             case CANT_DO -> removeFunction(front.functions.findExisting(packet.text(0)));
             case RESET_ABILITIES -> List.copyOf(timeoutsMs.keySet()).forEach(this::removeFunction);
             case PRE_SLEEP -> {
-                answerNoJob(); // it asks no more
+                answerNoJob(); // a sleeping worker no longer waits for a job
                 asleep = true;
                 onReady();
                 wake();
@@ -163,7 +170,7 @@
         if (function == null) {
             boolean full = front.functions.isFull();
             front.context.counters().count(full ? "gearman.not.functions" : "gearman.unknown_function");
-            if (full) { // else no job of such a function will ever come
+            if (full) { // the worker would wait in vain for jobs of this function
                 connection.write(
                         Type.ERROR,
                         "functions",
@@ -177,7 +184,7 @@
         }
     }
 
-    /** Not this function any more: what waits for it and has not been grabbed goes back unstarted. */
+    /** Removes a function; queued attempts of it that the worker has not grabbed go back to the core unstarted. */
     private void removeFunction(Function function) {
         if (function != null && timeoutsMs.remove(function) != null) {
             function.workers--;
@@ -191,7 +198,10 @@
         }
     }
 
-    /** True for the job that is out here; packets on one that was given up are counted and dropped. */
+    /**
+     * Whether a packet is about the job that runs here; a final one makes the worker free. Packets about a job that
+     * was given up, or about any other, are counted as stale and must be dropped.
+     */
     private boolean acceptReport(Packet packet, boolean ends) {
         boolean assigned = packet.text(0).equals(assignedHandle);
         boolean current = assigned && running != null;
@@ -234,7 +244,7 @@
             grabTimer = null;
         }
         if (assignedHandle != null) {
-            // It asks anew without having ended its job: that job is not worked on any more.
+            // The worker grabs again without having finished its job, so it no longer works on it.
             Attempt attempt = clearRunning();
             assignedHandle = null;
             if (attempt != null) {
@@ -242,13 +252,13 @@
             }
         }
         busy = false;
-        withheld &= !listed; // who is there after all; a delay before its first listing runs on
+        withheld &= !listed; // the grab shows that the worker is alive; a delay before its first listing goes on
         onReady();
         reportNodeIfChanged();
         openGrab = type;
         answerGrab();
         if (openGrab != null && front.config.grabHoldMs() > 0) {
-            // A job may come at any moment, and costs neither a sleep nor a wake-up then.
+            // Holds the answer back: a job that arrives in this time needs no sleep and no wake-up.
             noJobTimer = front.context
                     .wheel()
                     .at(front.context.clock().nowMs() + front.config.grabHoldMs(), this::answerNoJob);
@@ -257,7 +267,7 @@
         }
     }
 
-    /** Answers an open grab with the job that waits here, if there is one. */
+    /** Answers an open grab with the first queued attempt, if there is one. */
     private void answerGrab() {
         Attempt attempt = openGrab == null ? null : queued.poll();
         if (attempt == null) {
@@ -265,7 +275,7 @@
         }
         Type type = openGrab;
         if (attempt.sheet().work().reducer() != null && type != Type.GRAB_JOB_ALL) {
-            // Without the reducer's name it would run as another job than was asked for.
+            // Only JOB_ASSIGN_ALL carries the reducer's name; without it the worker would run a different job.
             front.context.counters().count("gearman.reducer_not_grabbed");
             answerNoJob();
             attempt.ended(Ending.FULL, null);
@@ -278,7 +288,7 @@
         assign(type, attempt);
     }
 
-    /** Answers an open grab: there is no job. */
+    /** Answers an open grab with NO_JOB. */
     private void answerNoJob() {
         if (openGrab != null) {
             openGrab = null;
@@ -290,11 +300,12 @@
         }
     }
 
+    /** Assigns an attempt to the worker, in the packet that answers its type of grab. */
     private void assign(Type type, Attempt attempt) {
         JobRequest request = attempt.sheet();
         running = attempt;
         busy = true;
-        if (grabTimer != null) { // else it would end a later sleep
+        if (grabTimer != null) { // else it would fire during a later sleep
             grabTimer.cancel();
             grabTimer = null;
         }
@@ -314,7 +325,7 @@
                         request.work().reducer() == null ? "" : request.work().reducer(),
                         request.body());
         }
-        attempt.whole(); // handed to the worker's connection whole: its write is batched for the turn, not held back
+        attempt.whole(); // the connection has the whole job, and delays its write to the end of the loop's turn at most
         double timeoutMs = timeoutsMs.getOrDefault(function, 0.0);
         if (timeoutMs > 0) {
             front.context.wheel().at(front.context.clock().nowMs() + timeoutMs, () -> {
@@ -328,6 +339,7 @@
         attempt.started();
     }
 
+    /** Answers an open grab or wakes the worker if attempts are queued, and starts the timer for its grab. */
     private void wake() {
         if (queued.isEmpty() || busy || lost) {
             return;
@@ -345,6 +357,7 @@
         }
     }
 
+    /** The worker was woken and has not grabbed in time: reports it as draining and returns its queued attempts. */
     private void onGrabTimeout() {
         grabTimer = null;
         if (!busy) {
@@ -356,13 +369,14 @@
         }
     }
 
+    /** Ends the queued attempts as never started, so that the core can send them elsewhere. */
     private void returnQueued() {
         for (Attempt attempt = queued.poll(); attempt != null; attempt = queued.poll()) {
             attempt.ended(Ending.CONNECT_FAILED, null);
         }
     }
 
-    /** The worker's connection is gone. */
+    /** The worker's connection has ended: deletes the node and ends its attempts. */
     void onDisconnected() {
         lost = true;
         if (grabTimer != null) {
@@ -401,7 +415,7 @@
     public void giveUp(Attempt attempt) {
         queued.remove(attempt);
         if (running == attempt) {
-            running = null; // the protocol has no word for it: the worker goes on and is busy until it ends
+            running = null; // the protocol cannot cancel a running job: the worker stays busy until it has finished
             reportNodeIfChanged();
         }
     }
