--- a/src/main/java/plumpost/gearman/AdminCommands.java
+++ b/src/main/java/plumpost/gearman/AdminCommands.java
@@ -7,7 +7,10 @@
 import plumpost.dispatch.OpenJobCounts;
 import plumpost.gearman.FunctionTable.Function;
 
-/** The admin's text lines: what is asked in a line, and the answer to it. What can harm is off until it is allowed. */
+/**
+ * The admin commands: takes a line of text and returns the answer. Commands that can do harm are off unless the
+ * configuration allows them.
+ */
 final class AdminCommands {
     private static final String OK = "OK\n";
     private static final String INCOMPLETE_ARGUMENTS =
@@ -21,7 +24,7 @@
         this.version = version;
     }
 
-    /** Answers a line, at once but for a call that a fleet has to agree on. */
+    /** Answers a line: at once, or after the fleet has decided if a job planned with the fleet is to be cancelled. */
     void answer(String line, Consumer<String> onAnswer) {
         String[] words = line.split("\\s+");
         if (front.fleetJobs != null
@@ -148,7 +151,7 @@
         }
     }
 
-    /** Calls off a job that waits; one that a worker has may have run, and its clients are owed its outcome. */
+    /** Cancels a waiting job. A job that a worker has may have run, so it goes on and its clients get its outcome. */
     private String cancel(String handle) {
         String id = front.jobId(handle);
         if (front.schedule.remove(front.schedule.find(id))) {
@@ -182,7 +185,10 @@
                 : "ERR there are still connected workers or executing clients\n";
     }
 
-    /** Without a limit, 0 or a negative number: no limit. One limit is for each priority, three for each its own. */
+    /**
+     * Sets a function's limits on waiting jobs: one number for every priority, or one each for high, normal and low.
+     * No number, 0 or a negative number means no limit.
+     */
     private String maxqueue(String[] words) {
         if (words.length != 2 && words.length != 3 && words.length != 5) {
             return INCOMPLETE_ARGUMENTS;
--- a/src/main/java/plumpost/gearman/FleetJobs.java
+++ b/src/main/java/plumpost/gearman/FleetJobs.java
@@ -12,7 +12,7 @@
 import plumpost.gearman.FunctionTable.Function;
 import plumpost.peers.Fleet;
 
-/** Scheduled jobs of a fleet at one front: planned with the others, and run here where the fleet says so. */
+/** The scheduled jobs of one front in a fleet: plans them with the fleet, and runs those that the fleet assigns here. */
 final class FleetJobs {
     private final GearmanFront front;
     private final Fleet fleet;
@@ -28,7 +28,7 @@
         return fleet;
     }
 
-    /** Plans a job with the fleet; then says what its client is told. */
+    /** Plans a job with the fleet and passes on the fleet's answer. */
     void plan(JobRequest request, double atMs, java.util.function.Consumer<Fleet.Said> onAnswer) {
         byte[] body = new byte[request.body().remaining()];
         request.body().duplicate().get(body);
@@ -45,14 +45,14 @@
                 onAnswer);
     }
 
-    /** The planned job under a function and key, or null. */
+    /** The planned job with the same function and unique key, or null. */
     Fleet.Job findByKey(JobRequest request) {
         return request.work().unique() == null
                 ? null
                 : fleet.planned(request.work().name(), request.work().unique());
     }
 
-    /** Hands a job in that is this scheduler's to run now; false where it cannot be taken. */
+    /** Submits a planned job to the core. Returns false if it cannot be accepted now. */
     boolean run(Fleet.Job job) {
         Function function = front.functions.findOrAdd(job.function());
         if (function == null || front.stopping() || !front.core.hasRoom(job.body().length)) {
@@ -83,7 +83,7 @@
         return true;
     }
 
-    /** What no worker has is called off; it goes back to the fleet as never seen by anybody. */
+    /** Cancels a job that no worker has, and returns it to the fleet as never started. */
     void recall(String id) {
         OpenJob openJob = running.get(id);
         if (openJob != null) {
@@ -93,17 +93,17 @@
         }
     }
 
-    /** The scheduler ends: all that no worker has goes back. */
+    /** Returns all jobs that no worker has to the fleet, since the scheduler stops. */
     void recallAll() {
         new ArrayList<>(running.keySet()).forEach(this::recall);
     }
 
-    /** Handles of what is planned and over at nobody yet, for the admin's list. */
+    /** Handles of the planned jobs that no scheduler was told to run yet, for the admin command {@code show jobs}. */
     List<String> handles() {
         return fleet.plannedIds();
     }
 
-    /** Waits for a planned job's answer in place of a client. */
+    /** Takes the outcome of a planned job in place of a client, and reports to the fleet that the job has ended. */
     private final class Reply implements ReplyTo {
         private final String id;
         private boolean unstarted;
@@ -127,7 +127,7 @@
 
         @Override
         public void refused(double retryAfterMs) {
-            end(true); // a refusal says that it never ran: the fleet has it run elsewhere or later
+            end(true); // a refused job never ran: the fleet runs it elsewhere or later
         }
 
         @Override
--- a/src/main/java/plumpost/gearman/FleetOrders.java
+++ b/src/main/java/plumpost/gearman/FleetOrders.java
@@ -17,16 +17,17 @@
 import plumpost.peers.Ledger;
 
 /**
- * Covered orders at this front: what a client hands in is the fleet's before it hears JOB_CREATED; what is this
- * scheduler's to try is in its core, and handed out only under a lease; whoever waits is answered by the ledger, wherever
- * the order ran. Its handle is the same at every scheduler.
+ * The covered orders of one front. An order is in the fleet's ledger before its client gets JOB_CREATED. Orders that
+ * this scheduler holds are in its core, and are sent to workers only under a lease. Waiting clients are answered from
+ * the ledger, wherever the order ran. An order has the same handle at every scheduler.
  */
 final class FleetOrders implements Ledger.Holder, LeaseAuthority {
-    /** Orders of the fleet in this core at once: more wait where they are, or with nobody. */
+    /** Orders of the fleet that this core holds at once; further orders stay with other schedulers or unassigned. */
     private static final int MAX_OPEN_ORDERS = 256;
 
+    /** When a client may retry an order that the ledger refused. */
     private static final double RETRY_AFTER_MS = 1000;
-    /** The core's own word on an order whose time is up has so long to come through the log. */
+    /** Time beyond an order's patience in which the core's report that it expired can pass through the fleet's log. */
     private static final double OUTCOME_GRACE_MS = 100;
 
     private final GearmanFront front;
@@ -45,7 +46,7 @@
         return ledger.covers(front.settings.classes().get(request.cls()).name());
     }
 
-    /** Whether a job of this core is the fleet's, and its id its handle. */
+    /** Whether a job in this core is a covered order, whose id is its handle. */
     boolean isOpen(String id) {
         return openOrders.containsKey(id);
     }
@@ -58,7 +59,7 @@
         return unique == null ? null : ledger.known(function, unique);
     }
 
-    /** The share that is done, where it runs here. */
+    /** The share of the order that is done, from 0 to 1; 0 if it is not open here. */
     double progressOf(String id) {
         OpenJob openJob = openOrders.get(id);
         return openJob == null ? 0 : openJob.share();
@@ -66,7 +67,7 @@
 
     // ---- clients ----
 
-    /** Hands an order over to the fleet; then says what its client is told. */
+    /** Submits an order to the fleet's ledger and passes on its answer. */
     void submit(JobRequest request, boolean background, Consumer<Fleet.Said> onAnswer) {
         byte[] body = new byte[request.body().remaining()];
         request.body().duplicate().get(body);
@@ -86,8 +87,8 @@
     }
 
     /**
-     * A client waits for an order's answer, so long at the most: it gets one, at once where there is one. Where nobody
-     * has come to its order by then it is told that it failed; the order goes on, and its outcome is kept.
+     * Answers a waiting client with the order's outcome, at once if there is one. If there is none after the given
+     * time plus a grace period, the client is told that the job failed; the order goes on and its outcome is kept.
      */
     void await(Submission submission, double patienceMs) {
         Ledger.Known order = ledger.known(submission.handle);
@@ -104,7 +105,7 @@
         }
     }
 
-    /** A client that waited does not any more, its order goes on; whether it waited. */
+    /** Stops waiting for a client; the order goes on. Returns whether the client was waiting. */
     boolean stopWaiting(Submission submission) {
         List<Submission> submissions = awaiting.get(submission.handle);
         boolean waited = submissions != null && submissions.remove(submission);
@@ -130,7 +131,7 @@
 
     // ---- workers ----
 
-    /** A worker reports the end of a job that this core does not have out: it may be an order of the fleet. */
+    /** Reports to the ledger a result for a job that does not run on this worker, if it is a known order. */
     void reportLateResult(String handle, ByteBuffer result) {
         if (ledger.known(handle) != null) {
             front.context.counters().count("gearman.order_heard_late");
@@ -216,7 +217,7 @@
         ledger.told(attempt.sheet().id(), Ledger.Word.HANDED_BACK, new byte[0]);
     }
 
-    /** What no worker has seen is tried again here; what may have run only where it may run twice. */
+    /** An attempt that never ran is tried again; one that may have run only if its class allows it to run twice. */
     @Override
     public void ended(Attempt attempt, boolean neverRan) {
         if (neverRan) {
@@ -226,7 +227,7 @@
         }
     }
 
-    /** Tells the ledger what came of an order here. */
+    /** Takes the outcome of an order from the core and reports it to the ledger. */
     private final class Reply implements ReplyTo {
         private final String id;
         private final boolean background;
