--- a/src/main/java/plumpost/gearman/FunctionTable.java
+++ b/src/main/java/plumpost/gearman/FunctionTable.java
@@ -8,9 +8,9 @@
 import plumpost.config.GearmanConfig;
 import plumpost.decision.Dispatcher.JobClass;
 
-/** The functions that are known, each with its class and its number as a kind of work. Bounded; does no I/O. */
+/** The known functions, each with its class and its number as a kind of work. Bounded in number; does no I/O. */
 final class FunctionTable {
-    /** A function; {@code most} holds the admin's limits on jobs that wait, by priority, 0 for none. */
+    /** A function; {@code maxQueued} holds the admin's limits on waiting jobs for high, normal and low priority; 0: none. */
     static final class Function {
         final String name;
         final int kind;
@@ -31,7 +31,7 @@
     private final Map<String, Function> byName = new LinkedHashMap<>();
     private final List<Function> byKind = new ArrayList<>();
 
-    /** A table in which each class is a function of its own name. */
+    /** Creates a table in which each class is a function of the same name. */
     FunctionTable(List<JobClass> classes, GearmanConfig config) {
         rules = config.functions();
         maxFunctions = Math.max(config.limits().functions(), classes.size());
@@ -52,7 +52,7 @@
         return function;
     }
 
-    /** The function of a name, made known if a rule gives it a class and there is room; else null. */
+    /** Finds a function by name, or adds it if a rule gives it a class and the table is not full; else returns null. */
     Function findOrAdd(String name) {
         Function function = byName.get(name);
         return function != null || isFull()
@@ -64,7 +64,7 @@
                         .orElse(null);
     }
 
-    /** The function of a kind of work. */
+    /** The function with this number as a kind of work. */
     Function get(int kind) {
         return byKind.get(kind);
     }
@@ -81,12 +81,12 @@
         return byName.values();
     }
 
-    /** The function of a name if it is known already. */
+    /** Finds a function by name, or returns null. */
     Function findExisting(String name) {
         return byName.get(name);
     }
 
-    /** Forgets a function that nothing uses; one that a class is named after stays. */
+    /** Removes a function, which must not be in use. Returns false if it is unknown or has the name of a class. */
     boolean remove(Function function) {
         if (function.kind < classCount || !byName.remove(function.name, function)) {
             return false;
--- a/src/main/java/plumpost/gearman/Packet.java
+++ b/src/main/java/plumpost/gearman/Packet.java
@@ -6,10 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** One packet of Gearman's binary protocol: its type, and its arguments as the type splits them. */
+/**
+ * One packet of Gearman's binary protocol.
+ *
+ * @param type the packet type
+ * @param parts the arguments, as many as the type has
+ */
 public record Packet(Type type, List<ByteBuffer> parts) {
 
-    /** Packet types by their numbers, each with the number of its arguments. */
+    /** Packet types, each with its number in the protocol and the number of its arguments. */
     public enum Type {
         CAN_DO(1, 1),
         CANT_DO(2, 1),
@@ -73,30 +78,31 @@
             outCounter = "gearman.out." + name();
         }
 
-        /** How many arguments a packet of this type has. */
+        /** Returns how many arguments a packet of this type has. */
         public int arguments() {
             return argumentCount;
         }
 
-        /** The type of a number, or null. */
+        /** Returns the type with this number, or null. */
         public static Type of(int code) {
             return BY_CODE.get(code);
         }
     }
 
-    /** The head of a packet that a client or worker sends. */
+    /** Magic code of a packet that a client or worker sends. */
     public static final int REQUEST = 0x00524551;
-    /** The head of a packet that a server sends. */
+    /** Magic code of a packet that a server sends. */
     public static final int RESPONSE = 0x00524553;
 
-    /** An argument as text. */
+    /** Returns an argument decoded as UTF-8. */
     public String text(int index) {
         return StandardCharsets.UTF_8.decode(parts.get(index).duplicate()).toString();
     }
 
+    /** Data of more bytes than this is not copied but written from a buffer of its own. */
     private static final int MAX_COPIED_BYTES = 1024;
 
-    /** The bytes of a packet, ready to be written in order: one buffer, and a second for much data at its end. */
+    /** Encodes a packet into buffers to be written in order: one, and a second if its last argument is large data. */
     public static ByteBuffer[] bytes(int magic, Type type, Object... arguments) {
         Object last = arguments.length == 0 ? null : arguments[arguments.length - 1];
         ByteBuffer data =
--- a/src/main/java/plumpost/gearman/PacketReader.java
+++ b/src/main/java/plumpost/gearman/PacketReader.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Takes packets, and where wanted the admin's text lines, out of the bytes it is fed; knows no socket. Memory follows
- * the bytes that have come, not the size that is claimed; a packet over a limit is told once and passed over.
+ * Decodes packets and, if wanted, the admin's text lines from a stream of bytes; does no I/O. Memory grows with the
+ * bytes received, not with the size that a header announces. A packet over a limit is reported once and skipped.
  */
 public final class PacketReader {
-    /** Bytes that are not of the protocol, or more than is taken; the reader can go on where {@code fatal} is false. */
+    /** Input that is malformed or over a limit; the reader can go on if {@code fatal} is false. */
     public static final class BadPacket extends Exception {
         private static final long serialVersionUID = 1L;
         private final String code;
@@ -22,23 +22,23 @@
             this.fatal = fatal;
         }
 
-        /** The code that an ERROR packet carries. */
+        /** Returns the error code for the ERROR packet. */
         public String code() {
             return code;
         }
 
-        /** True where the bytes that follow mean nothing any more. */
+        /** Returns true if the bytes that follow cannot be decoded. */
         public boolean fatal() {
             return fatal;
         }
     }
 
-    /** Bytes that packets under way may hold together, over all readers that share it. */
+    /** A limit on the bytes that unfinished packets hold together, over all readers that share it. */
     public static final class Budget {
         private final long maxBytes;
         private long reservedBytes;
 
-        /** A budget of so many bytes. */
+        /** Creates a budget of this many bytes. */
         public Budget(long maxBytes) {
             this.maxBytes = maxBytes;
         }
@@ -51,7 +51,7 @@
             return true;
         }
 
-        /** Bytes that are held now. */
+        /** Returns the bytes that unfinished packets hold now. */
         public long reservedBytes() {
             return reservedBytes;
         }
@@ -75,12 +75,18 @@
     private Packet.Type type;
     private String completeLine;
 
-    /** A reader of packets with this magic, with bodies up to a limit. */
+    /**
+     * Creates a reader without a shared budget.
+     *
+     * @param magic the magic code that every packet must have
+     * @param acceptsLines whether text lines are accepted between packets
+     * @param maxBodyBytes the largest body that is read
+     */
     public PacketReader(int magic, boolean acceptsLines, int maxBodyBytes) {
         this(magic, acceptsLines, maxBodyBytes, new Budget(Long.MAX_VALUE));
     }
 
-    /** A reader that shares a budget with others. */
+    /** Creates a reader that shares a budget with others. */
     public PacketReader(int magic, boolean acceptsLines, int maxBodyBytes, Budget budget) {
         this.magic = magic;
         this.acceptsLines = acceptsLines;
@@ -88,24 +94,24 @@
         this.budget = budget;
     }
 
-    /** True while a packet or line has begun and is not whole. */
+    /** Returns whether a packet or line has begun and is not complete. */
     public boolean inProgress() {
         return headerReceived > 0 || body != null || bytesToSkip > 0 || partialLine != null;
     }
 
-    /** Bytes of the packet under way, as its head says. */
+    /** Returns the body size that the unfinished packet's header announces, or the bytes left of a skipped packet. */
     public long claimedBytes() {
         return body != null ? bodySize : bytesToSkip;
     }
 
-    /** The text line that made {@link #next} return null, once; null if it was for want of bytes. */
+    /** Returns the text line that made {@link #next} return null, once; null if it returned null for lack of bytes. */
     public String takeLine() {
         String line = completeLine;
         completeLine = null;
         return line;
     }
 
-    /** Gives back what a packet under way holds: its connection has ended. */
+    /** Returns the bytes that an unfinished packet holds to the budget, since its connection has ended. */
     public void release() {
         if (body != null) {
             budget.reservedBytes -= body.length;
@@ -113,7 +119,7 @@
         }
     }
 
-    /** The next whole packet; null for want of bytes, or where a text line came instead. */
+    /** Returns the next complete packet; null if more bytes are needed or a text line was read instead. */
     public Packet next(ByteBuffer input) throws BadPacket {
         while (input.hasRemaining()) {
             if (bytesToSkip > 0) {
@@ -146,7 +152,7 @@
             if (bodyReceived + length > body.length) {
                 growBody(bodyReceived + length);
             }
-            if (body == null) { // no room: begin() has set what is passed over
+            if (body == null) { // growBody() throws when the budget is used up, so that this does not occur
                 continue;
             }
             input.get(body, bodyReceived, length);
--- a/src/main/java/plumpost/gearman/Schedule.java
+++ b/src/main/java/plumpost/gearman/Schedule.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 import plumpost.dispatch.JobRequest;
 
-/** Jobs that wait for their time, bounded in number and bytes; does no I/O and keeps no clock. */
+/** Jobs that wait for their start time, bounded in number and bytes; does no I/O and reads no clock. */
 final class Schedule {
-    /** A job and its time in Unix milliseconds. */
+    /** A job, its start time in Unix milliseconds, and a sequence number that orders jobs of the same time. */
     record Entry(JobRequest request, double atMs, long sequence) {}
 
     private final int maxJobs;
@@ -30,7 +30,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Why one more job with so much data cannot be held, or null. */
+    /** Names the limit that one more job with this many bytes of data would exceed, with its value; or null. */
     String exhaustedLimit(int dataBytes) {
         return byId.size() >= maxJobs
                 ? "limits.scheduled " + maxJobs
@@ -47,7 +47,7 @@
         bytes += request.body().remaining();
     }
 
-    /** The next job whose time has come, which stays until it is removed; or null. */
+    /** The first job that is due, or null; it stays in the schedule until it is removed. */
     Entry firstDue(double nowMs) {
         return byTime.isEmpty() || byTime.first().atMs() > nowMs ? null : byTime.first();
     }
@@ -75,8 +75,11 @@
     }
 
     /**
-     * The next time after now, in UTC, that fits minute, hour, day of the month, month and day of the week (0 is
-     * Monday), each a number or {@code *} for any; throws with the field's name where one is not.
+     * Returns the next time after now, in Unix milliseconds, that matches the minute, hour, day of the month, month and
+     * day of the week (0 is Monday) in UTC. Each is a number, or {@code *} or empty for any.
+     *
+     * @throws IllegalArgumentException if a field is invalid; the message names it
+     * @throws DateTimeException if no time matches
      */
     static double nextTimeMs(double nowMs, String... fields) {
         String[] names = {"minute", "hour", "day of the month", "month", "day of the week"};
@@ -99,7 +102,7 @@
                 .withSecond(0)
                 .withNano(0)
                 .plusMinutes(1);
-        LocalDateTime end = time.plusYears(8).plusDays(1); // a 29th of February comes within 8 years
+        LocalDateTime end = time.plusYears(8).plusDays(1); // there is a 29th of February in any 8 years and a day
         while (time.isBefore(end)) {
             if (differs(wanted[3], time.getMonthValue())) {
                 time = time.plusMonths(1).withDayOfMonth(1).withHour(0).withMinute(0);
--- a/src/main/java/plumpost/gearman/WorkerHistory.java
+++ b/src/main/java/plumpost/gearman/WorkerHistory.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * What is remembered of workers by client id over their connections: since when a worker has been up, so that one
- * that only lost its connection is not cold again, and how often it left jobs ungrabbed, so that one that flaps is
- * given time before it is listed again. Bounded; does no I/O.
+ * What is remembered of workers by client id across connections: since when a worker has been up, so that one that only
+ * lost its connection is not cold again, and how often it did not grab a job, so that a flapping worker is listed again
+ * only after a delay. Bounded in number; does no I/O.
  */
 final class WorkerHistory {
     private static final int MAX_WORKERS = 10_000;
@@ -33,7 +33,10 @@
         this.returnMs = returnMs;
     }
 
-    /** A worker is to be listed; returns since when it has been up. Two at once under one id are two workers. */
+    /**
+     * Returns since when a worker that is about to be listed has been up, in milliseconds of the loop's clock. Two
+     * connections with the same id at the same time count as two workers.
+     */
     double onReady(String clientId, double connectedAtMs, double nowMs) {
         if (clientId == null) {
             return connectedAtMs;
@@ -45,7 +48,7 @@
         return entry.upSinceMs;
     }
 
-    /** How long a worker waits before it is listed: nothing, or longer with each strike in a row. */
+    /** The delay before a worker is listed: 0, or a time that doubles with each missed grab in a row, up to a limit. */
     double delayMs(String clientId) {
         Entry entry = clientId == null ? null : byClientId.get(clientId);
         return entry == null || entry.missedGrabs == 0
@@ -60,7 +63,7 @@
         }
     }
 
-    /** It was given a job and did not grab it. */
+    /** Counts that the worker was given a job and did not grab it. */
     void countMissedGrab(String clientId) {
         Entry entry = clientId == null ? null : byClientId.get(clientId);
         if (entry != null) {
@@ -68,7 +71,7 @@
         }
     }
 
-    /** It has ended a job: what was before does not count. */
+    /** Clears the missed grabs of a worker that has finished a job. */
     void clearMissedGrabs(String clientId) {
         Entry entry = clientId == null ? null : byClientId.get(clientId);
         if (entry != null) {
