--- a/src/test/java/plumpost/gearman/GearmanTest.java
+++ b/src/test/java/plumpost/gearman/GearmanTest.java
@@ -8,15 +8,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumpost.Scenario;
 
-/** The Gearman front, clients and workers, in memory. Workers are warm once the scenario has waited for it. */
+/** Tests the Gearman front with clients and workers in memory. A worker is warm after the wait in {@link #WORKER}. */
 class GearmanTest {
 
-    /** Guards places against strangers that say nothing; who has spoken is never shed. */
+    /** Silent connections must not use up the connection limit; one that has sent something is never closed for it. */
     @Test
     void silentConnectionIsClosed() {
         Scenario scenario =
                 new Scenario(0).play("plug1 send ECHO_REQ|a\nplug1 expect ECHO_RES|a\nplug2 expect nothing");
-        assertThat(scenario.gearman.closeSilentConnection()).as("a newcomer").isFalse();
+        assertThat(scenario.gearman.closeSilentConnection())
+                .as("a new connection")
+                .isFalse();
         scenario.play("wait 200");
         assertThat(scenario.gearman.closeSilentConnection()).isTrue();
         scenario.play("plug2 expect closed\nplug1 expect nothing");
@@ -32,7 +34,7 @@
         wait 500
         """;
 
-    /** A client's job that the worker has grabbed. */
+    /** Steps in which a client submits a job and the worker grabs it. */
     private static String assigned(String submit) {
         return "plug1 send " + submit + """
 
@@ -47,7 +49,7 @@
         return new Scenario(0).play(WORKER + steps);
     }
 
-    /** Guards the plain path: created, woken, assigned, news, complete; the worker is told each word of the job. */
+    /** The normal course of a job: created, worker woken, assigned with all arguments, progress, complete. */
     @Test
     void jobIsAssignedAndCompletes() {
         play("""
@@ -74,7 +76,7 @@
             """);
     }
 
-    /** Guards against an order that runs twice when its worker is lost: it fails; one not grabbed goes on. */
+    /** An order must not run twice when its worker is lost: it fails, unless the worker had not grabbed it yet. */
     @Test
     void orderFailsWhenItsWorkerIsLost() {
         play(assigned("SUBMIT_JOB|pickup-order||towels") + """
@@ -98,7 +100,7 @@
         assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
     }
 
-    /** Guards that a route plan whose worker is lost goes to another one. */
+    /** A route plan may run twice: when its worker is lost it goes to another one. */
     @Test
     void routePlanIsRetriedWhenItsWorkerIsLost() {
         play(assigned("SUBMIT_JOB_HIGH|route-plan||x") + """
@@ -115,7 +117,7 @@
             """);
     }
 
-    /** Guards the hard case of a resubmit: its client left, it joins the run, and later gets the kept outcome. */
+    /** A resubmitted order joins the run of its first client, which has left, and later gets the kept outcome. */
     @Test
     void resubmittedOrderNeverRunsTwice() {
         Scenario scenario = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
@@ -136,7 +138,7 @@
         assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
-    /** Guards the key that stands for the data itself, however long that is. */
+    /** The unique key {@code -} stands for the data itself, however long it is. */
     @Test
     void dataServesAsUniqueKey() {
         String data = "x".repeat(5000);
@@ -146,14 +148,14 @@
         assertThat(scenario.counters.of("jobs.joined")).isEqualTo(1);
     }
 
-    /** Guards against a peer that sends a packet byte by byte for ever. */
+    /** A peer that sends a packet byte by byte without end must not hold its connection. */
     @Test
     void unfinishedPacketTimesOut() {
         String drip = "plug1 send \"\\0\"\nwait 4000\nplug1 send \"R\"\nwait 4000\nplug1 send \"E\"\nwait 4000\n";
         new Scenario(0).play(drip + "plug1 expect ERROR|timeout|*\nplug1 expect closed");
     }
 
-    /** Guards that the kept outcome of a failed order is its failure, not a new run. */
+    /** A resubmitted order that has failed gets the kept failure, not a new run. */
     @Test
     void resubmittedFailedOrderFails() {
         Scenario scenario = play(assigned("SUBMIT_JOB|pickup-order|u|towels") + """
@@ -168,7 +170,7 @@
         assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
     }
 
-    /** Guards the one answer in time: a worker that never ends, and a class that no worker runs. */
+    /** Exactly one WORK_FAIL is sent at the deadline if the worker never finishes or no worker runs the class. */
     @Test
     void missedDeadlineIsAnsweredWithWorkFail() {
         play(assigned("SUBMIT_JOB|pickup-order||x") + """
@@ -184,14 +186,14 @@
                         + "plug1 expect WORK_FAIL|*\nplug1 expect nothing");
     }
 
-    /** Guards that a full ledger is told at once, names its limits and says when to come back. */
+    /** A job beyond the limits on open jobs is rejected at once, with the limits' names and the time to retry after. */
     @Test
     void fullJobLimitNamesItsSettingsAndRetryTime() {
-        StringBuilder many = new StringBuilder();
+        StringBuilder steps = new StringBuilder();
         for (int i = 0; i < 64; i++) {
-            many.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
+            steps.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
         }
-        new Scenario(0).play(many + """
+        new Scenario(0).play(steps + """
             plug2 send OPTION_REQ|exceptions
             plug2 expect OPTION_RES|exceptions
             plug2 send SUBMIT_JOB|route-plan||x
@@ -203,7 +205,7 @@
             """);
     }
 
-    /** Guards drains: after CANT_DO nothing new of that class, what was not grabbed goes back, the rest goes on. */
+    /** After CANT_DO a worker gets no job of that function, ungrabbed ones go back, and all others go on. */
     @Test
     void cantDoDrainsTheFunction() {
         play("""
@@ -228,20 +230,20 @@
             """);
     }
 
-    /** Guards cold workers: a fresh one is not given jobs beyond what it may warm up on. */
+    /** A cold worker gets no more jobs than it may warm up on. */
     @Test
     void coldWorkerGetsFewJobs() {
-        StringBuilder many = new StringBuilder("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP\n");
+        StringBuilder steps = new StringBuilder("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP\n");
         for (int i = 0; i < 20; i++) {
-            many.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
+            steps.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
         }
-        Scenario scenario = new Scenario(0).play(many + "wait 100");
+        Scenario scenario = new Scenario(0).play(steps + "wait 100");
         assertThat(scenario.counters.of("attempts.out")).isLessThanOrEqualTo(1);
         scenario.play("wait 700");
         assertThat(scenario.counters.of("attempts.out")).isPositive();
     }
 
-    /** Guards the worker that sleeps on: what it does not grab in a second goes elsewhere, never having run. */
+    /** A job that a woken worker does not grab within a second ends there as never started, and its client waits on. */
     @Test
     void jobThatIsNotGrabbedGoesToAnotherWorker() {
         Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*\nwait 1010");
@@ -249,7 +251,7 @@
         scenario.play("plug1 expect nothing");
     }
 
-    /** Guards the worker's own limit: CAN_DO_TIMEOUT ends the attempt, and the order is not sent again. */
+    /** The time limit of CAN_DO_TIMEOUT ends the attempt, and the order is not sent again. */
     @Test
     void canDoTimeoutEndsTheAttempt() {
         new Scenario(0)
@@ -260,7 +262,7 @@
             """);
     }
 
-    /** Guards both ways across: an HTTP front desk served by a Gearman worker, a Gearman client by an HTTP node. */
+    /** A Gearman worker can serve a job from HTTP, and an HTTP node can serve one from a Gearman client. */
     @Test
     void bothFrontsAreServedByBothKindsOfNode() {
         play("""
@@ -278,7 +280,7 @@
             """);
     }
 
-    /** Guards the admin's lines. */
+    /** Admin commands are answered on any connection; one that can do harm is off by default. */
     @Test
     void adminCommandsAreAnswered() {
         play("""
@@ -298,7 +300,7 @@
             """);
     }
 
-    /** Guards against malformed packets: ERROR, then the connection ends. */
+    /** A malformed packet is answered with ERROR, and its connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -313,7 +315,7 @@
         new Scenario(0).play("plug1 send \"" + bytes + "\"\nplug1 expect ERROR|*\nplug1 expect closed");
     }
 
-    /** Guards against well-formed packets that ask for what is not offered: ERROR, and the connection goes on. */
+    /** A well-formed packet that asks for something unsupported is answered with ERROR; the connection stays open. */
     @ParameterizedTest
     @CsvSource({
         "SUBMIT_JOB|laundry|u|x,unknown_function",
--- a/src/test/java/plumpost/gearman/HardCasesTest.java
+++ b/src/test/java/plumpost/gearman/HardCasesTest.java
@@ -18,7 +18,7 @@
 import plumpost.gearman.Packet.Type;
 import plumpost.lab.script.Rig;
 
-/** Hard cases of the Gearman front, in memory: wake-ups, flapping, returns, floods and hostile bytes. */
+/** Edge cases of the Gearman front, in memory: wake-ups, flapping and returning workers, floods, hostile input. */
 class HardCasesTest {
     private static GearmanConfig config(double holdMs, int openJobs) {
         GearmanConfig.Limits defaults = GearmanConfig.Limits.USUAL;
@@ -54,31 +54,32 @@
                 openJobs);
     }
 
-    /** Peers of one scenario that send packets and read them. */
+    /** The peers of one scenario, which send and read packets. */
     private static final class Peers {
         final Rig rig;
         final Map<String, PacketReader> readers = new HashMap<>();
 
-        Peers(Scenario s) {
-            rig = s.rig();
+        Peers(Scenario scenario) {
+            rig = scenario.rig();
         }
 
-        void send(String who, Type type, Object... arguments) {
-            for (ByteBuffer b : Packet.bytes(Packet.REQUEST, type, arguments)) {
-                byte[] all = new byte[b.remaining()];
-                b.get(all);
-                rig.send(who, all);
+        void send(String peer, Type type, Object... arguments) {
+            for (ByteBuffer buffer : Packet.bytes(Packet.REQUEST, type, arguments)) {
+                byte[] bytes = new byte[buffer.remaining()];
+                buffer.get(bytes);
+                rig.send(peer, bytes);
             }
         }
 
-        List<Packet> read(String who) {
-            byte[] all = rig.take(who, 0);
+        List<Packet> read(String peer) {
+            byte[] bytes = rig.take(peer, 0);
             List<Packet> packets = new ArrayList<>();
-            ByteBuffer in = ByteBuffer.wrap(all == null ? new byte[0] : all);
-            PacketReader r = readers.computeIfAbsent(who, w -> new PacketReader(Packet.RESPONSE, false, 1 << 24));
+            ByteBuffer input = ByteBuffer.wrap(bytes == null ? new byte[0] : bytes);
+            PacketReader reader =
+                    readers.computeIfAbsent(peer, name -> new PacketReader(Packet.RESPONSE, false, 1 << 24));
             try {
-                for (Packet p = r.next(in); p != null; p = r.next(in)) {
-                    packets.add(p);
+                for (Packet packet = reader.next(input); packet != null; packet = reader.next(input)) {
+                    packets.add(packet);
                 }
             } catch (PacketReader.BadPacket e) {
                 throw new AssertionError(e);
@@ -87,10 +88,11 @@
         }
     }
 
-    /** A worker that does as the protocol's text says, a packet at a time. */
+    /** A worker that follows the protocol, one packet at a time. */
     private static final class SimulatedWorker {
         private final Peers peers;
-        private int state; // 0 not there, 1 to grab, 2 waits for the grab's answer, 3 sleeps, 4 has a job
+        private int
+                state; /* 0 not connected, 1 about to grab, 2 waits for the answer, 3 asleep, 4 has a job, 5 got NO_JOB */
         private Packet job;
         int completed;
 
@@ -98,11 +100,11 @@
             this.peers = peers;
         }
 
-        /** Takes its next step; false if there is nothing to do. */
+        /** Takes the next step. Returns false if there is nothing to do. */
         boolean step() {
             for (Packet packet : state == 0 ? List.<Packet>of() : peers.read("w")) {
                 state = switch (packet.type()) {
-                    case NOOP -> state == 3 ? 1 : state; // a NOOP that crosses anything else means nothing
+                    case NOOP -> state == 3 ? 1 : state; // a NOOP that crosses another packet is ignored
                     case NO_JOB -> 5;
                     case JOB_ASSIGN -> {
                         job = packet;
@@ -137,7 +139,7 @@
         }
     }
 
-    /** Guards against a lost wake-up: two jobs that come at any two points of a worker's life are both done at once. */
+    /** No wake-up may be lost: two jobs that arrive at any two steps of a worker are both done without delay. */
     @Test
     void noWakeUpIsLostInAnyOrderOfEvents() {
         int cases = 0;
@@ -172,7 +174,7 @@
         assertThat(cases).isEqualTo(330);
     }
 
-    /** Guards warmth: a worker that comes back under its client id is given work at once, a stranger is not. */
+    /** A worker that reconnects under its client id gets work at once; a new one is cold and does not. */
     @Test
     void returningWorkerIsNotColdAgain() {
         Scenario scenario = scenario(4000, 0, 64).play("""
@@ -201,7 +203,7 @@
             """);
     }
 
-    /** Guards jobs from a worker that flaps: each time it leaves a job ungrabbed it is taken back later. */
+    /** A flapping worker must not delay jobs: each time it leaves a job ungrabbed it is listed again later. */
     @Test
     void flappingWorkerIsListedLaterEachTime() {
         Scenario scenario =
@@ -229,7 +231,7 @@
             """);
     }
 
-    /** Guards other jobs from a worker that is there and never grabs: it costs one job a second, once. */
+    /** A connected worker that never grabs delays only one job, by a second, until it grabs again. */
     @Test
     void workerThatNeverGrabsGetsOneJob() {
         Scenario scenario = scenario(0, 0, 64).play("plug9 send CAN_DO|route-plan\nplug9 send PRE_SLEEP");
@@ -241,11 +243,11 @@
         assertThat(scenario.counters.of("gearman.not_grabbed")).isEqualTo(1);
         scenario.play("plug9 send GRAB_JOB\nwait 100");
         assertThat(scenario.counters.of("attempts.out"))
-                .as("its grab shows that it is there")
+                .as("its grab shows that it is alive")
                 .isGreaterThan(1);
     }
 
-    /** Guards memory and time with 100,000 background jobs at once, which all get done in their order. */
+    /** 100,000 background jobs may be open at once; one more is rejected, and all get done. */
     @Test
     void hundredThousandBackgroundJobsComplete() {
         Scenario scenario = scenario(0, 10, 100_000);
@@ -266,7 +268,7 @@
         assertThat(scenario.room.open()).isZero();
     }
 
-    /** Guards the list of a full ledger: it comes whole, in pieces, and a second one at the same time is told to wait. */
+    /** A list of many jobs is written in full, in chunks, and the connection then answers further commands. */
     @Test
     void longListIsWrittenInChunks() {
         Scenario scenario = scenario(0, 0, 20_000);
@@ -284,7 +286,7 @@
                 .startsWith("OK ");
     }
 
-    /** Guards the cost of a newcomer: 5,000 workers come within a second of the clock, and work is given to them. */
+    /** 5,000 workers can connect within a second of the clock, and each gets one wake-up for 5,000 jobs. */
     @Test
     void fiveThousandWorkersConnectWithinASecond() {
         Scenario scenario = scenario(1000, 0, 6000);
@@ -308,7 +310,7 @@
         assertThat(woken).as("a wake-up for each job and no more").isEqualTo(5000);
     }
 
-    /** Guards memory against heads that claim much: what came counts, over all connections, and the rest is passed over. */
+    /** Headers that announce large bodies must not use up memory: only received bytes count, over all readers. */
     @Test
     void unfinishedPacketsShareABudget() {
         PacketReader.Budget budget = new PacketReader.Budget(10_000);
@@ -318,7 +320,7 @@
                 ByteBuffer.allocate(12).putInt(Packet.REQUEST).putInt(16).putInt(900_000);
         assertThat(errorCodes(first, head.flip().array())).isEmpty();
         assertThat(budget.reservedBytes())
-                .as("what came counts, not what is claimed")
+                .as("received bytes count, not the announced size")
                 .isEqualTo(4096);
         assertThat(errorCodes(second, head.array())).isEmpty();
         assertThat(errorCodes(first, new byte[7000])).containsExactly("memory");
@@ -326,7 +328,7 @@
         second.release();
         assertThat(budget.reservedBytes()).isZero();
         assertThat(errorCodes(first, new byte[893_000])).isEmpty();
-        assertThat(first.inProgress()).as("the rest of it is passed over").isFalse();
+        assertThat(first.inProgress()).as("the rest of the packet is skipped").isFalse();
     }
 
     private static List<String> errorCodes(PacketReader reader, byte[] bytes) {
@@ -345,7 +347,7 @@
         return codes;
     }
 
-    /** Guards the doors against mutated packets: no fault is counted, and another client's job goes through. */
+    /** Mutated packets cause no fault and break no guard, and another client's job is still assigned. */
     @Property(tries = 400, seed = "400")
     void mutatedPacketsDoNotAffectOtherClients(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int packets) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
@@ -361,7 +363,8 @@
                         .get(random.nextInt(9));
             }
             if (type.name().startsWith("SUBMIT")) {
-                arguments = new Object[] {"route-plan"}; // its own jobs would be the worker's too: malformed ones only
+                arguments = new Object[] {"route-plan"
+                }; // valid jobs would reach the worker as well, so only malformed ones
             }
             byte[] bytes = concatenate(Packet.bytes(Packet.REQUEST, type, arguments));
             for (int flips = random.nextInt(3); flips > 0 && bytes.length > 0; flips--) {
@@ -380,7 +383,7 @@
         assertThat(scenario.counters.toString()).doesNotContain("guard.");
     }
 
-    /** Guards the reader against any bytes, cut anywhere: it tells packets, lines or what is bad, and holds no more. */
+    /** Any bytes give the same packets, lines and errors whole or in chunks, and no budget stays reserved. */
     @Property(tries = 500, seed = "500")
     void splitInputIsReadLikeWholeInput(@ForAll byte[] bytes, @ForAll @IntRange(min = 1, max = 7) int chunkSize) {
         PacketReader.Budget budget = new PacketReader.Budget(1 << 16);
