--- a/src/main/java/plumpost/gearman/AdminCommands.java
+++ b/src/main/java/plumpost/gearman/AdminCommands.java
@@ -130,7 +130,9 @@
                     .forEach(job ->
                             text.append(front.handleOf(job.request().id())).append("\t0\t0\t0\n"));
             if (front.fleetJobs != null) {
-                front.fleetJobs.handles().forEach(handle -> text.append(handle).append("\t0\t0\t0\n"));
+                front.fleetJobs
+                        .plannedHandles()
+                        .forEach(handle -> text.append(handle).append("\t0\t0\t0\n"));
             }
             return text.append(".\n").toString();
         }
--- a/src/main/java/plumpost/gearman/ClientSession.java
+++ b/src/main/java/plumpost/gearman/ClientSession.java
@@ -24,7 +24,9 @@
 
     private final GearmanFront front;
     private final GearmanConnection connection;
+    /** The foreground jobs that have no final packet yet. */
     private final Set<Submission> awaited = new LinkedHashSet<>();
+
     private int openBackgroundJobs;
     private boolean exceptions;
     private boolean awaitingFleet;
--- a/src/main/java/plumpost/gearman/FleetJobs.java
+++ b/src/main/java/plumpost/gearman/FleetJobs.java
@@ -16,7 +16,9 @@
 final class FleetJobs {
     private final GearmanFront front;
     private final Fleet fleet;
+    /** The planned jobs in this core, by the id that the fleet knows them by. */
     private final Map<String, OpenJob> running = new HashMap<>();
+
     private final Map<String, Reply> replies = new HashMap<>();
 
     FleetJobs(GearmanFront front, Fleet fleet) {
@@ -99,14 +101,16 @@
     }
 
     /** Handles of the planned jobs that no scheduler was told to run yet, for the admin command {@code show jobs}. */
-    List<String> handles() {
+    List<String> plannedHandles() {
         return fleet.plannedIds();
     }
 
     /** Takes the outcome of a planned job in place of a client, and reports to the fleet that the job has ended. */
     private final class Reply implements ReplyTo {
         private final String id;
+        /** The job is cancelled before a worker had it, so that its end counts as never started. */
         private boolean unstarted;
+
         private boolean ended;
 
         Reply(String id) {
--- a/src/main/java/plumpost/gearman/FleetOrders.java
+++ b/src/main/java/plumpost/gearman/FleetOrders.java
@@ -25,16 +25,19 @@
     /** Orders of the fleet that this core holds at once; further orders stay with other schedulers or unassigned. */
     private static final int MAX_OPEN_ORDERS = 256;
 
-    /** When a client may retry an order that the ledger refused. */
+    /** Time after which a client may resubmit an order that the ledger refused. */
     private static final double RETRY_AFTER_MS = 1000;
     /** Time beyond an order's patience in which the core's report that it expired can pass through the fleet's log. */
     private static final double OUTCOME_GRACE_MS = 100;
 
     private final GearmanFront front;
     private final Ledger ledger;
+    /** The covered orders in this core, by handle. */
     private final Map<String, OpenJob> openOrders = new HashMap<>();
+
     private final Map<String, Reply> replies = new HashMap<>();
-    private final Map<String, List<Submission>> awaiting = new HashMap<>();
+    /** The clients here that wait for an order's outcome, by the order's handle. */
+    private final Map<String, List<Submission>> waitingByHandle = new HashMap<>();
 
     FleetOrders(GearmanFront front, Ledger ledger) {
         this.front = front;
@@ -42,6 +45,7 @@
         ledger.at(this);
     }
 
+    /** Whether the ledger covers the job's class. */
     boolean covers(JobRequest request) {
         return ledger.covers(front.settings.classes().get(request.cls()).name());
     }
@@ -51,10 +55,12 @@
         return openOrders.containsKey(id);
     }
 
+    /** The order with this handle, or null if the ledger does not know it. */
     Ledger.Known find(String id) {
         return ledger.known(id);
     }
 
+    /** The order with this function and unique key, or null if there is none. */
     Ledger.Known find(String function, String unique) {
         return unique == null ? null : ledger.known(function, unique);
     }
@@ -95,7 +101,8 @@
         if (order != null && order.ended()) {
             answer(submission, order);
         } else {
-            awaiting.computeIfAbsent(submission.handle, id -> new ArrayList<>(1))
+            waitingByHandle
+                    .computeIfAbsent(submission.handle, id -> new ArrayList<>(1))
                     .add(submission);
             front.context.wheel().at(front.context.clock().nowMs() + patienceMs + OUTCOME_GRACE_MS, () -> {
                 if (stopWaiting(submission)) {
@@ -107,10 +114,10 @@
 
     /** Stops waiting for a client; the order goes on. Returns whether the client was waiting. */
     boolean stopWaiting(Submission submission) {
-        List<Submission> submissions = awaiting.get(submission.handle);
+        List<Submission> submissions = waitingByHandle.get(submission.handle);
         boolean waited = submissions != null && submissions.remove(submission);
         if (waited && submissions.isEmpty()) {
-            awaiting.remove(submission.handle);
+            waitingByHandle.remove(submission.handle);
         }
         return waited;
     }
@@ -194,7 +201,7 @@
 
     @Override
     public void ended(Ledger.Known order) {
-        List<Submission> submissions = awaiting.remove(order.id());
+        List<Submission> submissions = waitingByHandle.remove(order.id());
         if (submissions != null) {
             submissions.forEach(submission -> answer(submission, order));
         }
@@ -231,7 +238,9 @@
     private final class Reply implements ReplyTo {
         private final String id;
         private final boolean background;
+        /** The order is no longer this scheduler's: its outcome is not reported. */
         private boolean silent;
+
         private boolean ended;
 
         Reply(String id, boolean background) {
@@ -275,12 +284,13 @@
 
         @Override
         public void progressed(double share) {
-            List.copyOf(awaiting.getOrDefault(id, List.of())).forEach(submission -> submission.progressed(share));
+            List.copyOf(waitingByHandle.getOrDefault(id, List.of()))
+                    .forEach(submission -> submission.progressed(share));
         }
 
         @Override
         public void warned(ByteBuffer text) {
-            List.copyOf(awaiting.getOrDefault(id, List.of())).forEach(submission -> submission.warned(text));
+            List.copyOf(waitingByHandle.getOrDefault(id, List.of())).forEach(submission -> submission.warned(text));
         }
     }
 }
--- a/src/main/java/plumpost/gearman/FunctionTable.java
+++ b/src/main/java/plumpost/gearman/FunctionTable.java
@@ -36,7 +36,7 @@
         rules = config.functions();
         maxFunctions = Math.max(config.limits().functions(), classes.size());
         this.classCount = classes.size();
-        classes.forEach(c -> add(c.name(), byKind.size()));
+        classes.forEach(jobClass -> add(jobClass.name(), byKind.size()));
     }
 
     private Function add(String name, int classIndex) {
@@ -58,9 +58,9 @@
         return function != null || isFull()
                 ? function
                 : rules.stream()
-                        .filter(r -> r.match().matcher(name).matches())
+                        .filter(rule -> rule.match().matcher(name).matches())
                         .findFirst()
-                        .map(r -> add(name, r.cls()))
+                        .map(rule -> add(name, rule.cls()))
                         .orElse(null);
     }
 
--- a/src/main/java/plumpost/gearman/GearmanConnection.java
+++ b/src/main/java/plumpost/gearman/GearmanConnection.java
@@ -79,7 +79,7 @@
         StringBuilder text =
                 new StringBuilder(number + " " + connection.peer() + ' ' + (clientId == null ? "-" : clientId) + " :");
         if (worker != null) {
-            worker.functions().forEach(f -> text.append(' ').append(f.name));
+            worker.functions().forEach(function -> text.append(' ').append(function.name));
         }
         return text.append('\n').toString();
     }
--- a/src/main/java/plumpost/gearman/GearmanFront.java
+++ b/src/main/java/plumpost/gearman/GearmanFront.java
@@ -110,7 +110,7 @@
         return session;
     }
 
-    /** Keeps accepting jobs until clients that do not know of the shutdown yet may be refused. */
+    /** Goes on accepting jobs on open connections for as long as the HTTP front still accepts new clients, then stops. */
     @Override
     public void stop(double receivedAtMs, double newClientsMs) {
         context.wheel().at(receivedAtMs + newClientsMs, this::refuseNewJobs);
--- a/src/main/java/plumpost/gearman/Submission.java
+++ b/src/main/java/plumpost/gearman/Submission.java
@@ -17,6 +17,7 @@
 
     private Runnable whenDone;
     private boolean done;
+    /** Bytes of the result that were sent as WORK_DATA, and are left out of WORK_COMPLETE. */
     private int sentBytes;
 
     /** Creates a submission; a null client means a background job, for which nobody waits. */
--- a/src/test/java/plumpost/gearman/HardCasesTest.java
+++ b/src/test/java/plumpost/gearman/GearmanEdgeCasesTest.java
@@ -19,7 +19,7 @@
 import plumpost.lab.script.Rig;
 
 /** Edge cases of the Gearman front, in memory: wake-ups, flapping and returning workers, floods, hostile input. */
-class HardCasesTest {
+class GearmanEdgeCasesTest {
     private static GearmanConfig config(double holdMs, int openJobs) {
         GearmanConfig.Limits defaults = GearmanConfig.Limits.USUAL;
         return new GearmanConfig(
@@ -91,8 +91,9 @@
     /** A worker that follows the protocol, one packet at a time. */
     private static final class SimulatedWorker {
         private final Peers peers;
-        private int
-                state; /* 0 not connected, 1 about to grab, 2 waits for the answer, 3 asleep, 4 has a job, 5 got NO_JOB */
+        /** 0 not connected, 1 about to grab, 2 waits for the answer, 3 asleep, 4 has a job, 5 got NO_JOB. */
+        private int state;
+
         private Packet job;
         int completed;
 
@@ -143,12 +144,12 @@
     @Test
     void noWakeUpIsLostInAnyOrderOfEvents() {
         int cases = 0;
-        for (double hold : new double[] {0, 10}) {
-            for (double gap : new double[] {0, 4, 12}) {
+        for (double holdMs : new double[] {0, 10}) {
+            for (double gapMs : new double[] {0, 4, 12}) {
                 for (int first = 0; first <= 9; first++) {
                     for (int second = first; second <= 9; second++) {
                         cases++;
-                        Scenario scenario = scenario(0, hold, 64);
+                        Scenario scenario = scenario(0, holdMs, 64);
                         Peers peers = new Peers(scenario);
                         SimulatedWorker worker = new SimulatedWorker(peers);
                         for (int step = 0; step <= 9; step++) {
@@ -156,7 +157,7 @@
                                 peers.send("c", Type.SUBMIT_JOB, "route-plan", "", "x");
                             }
                             worker.step();
-                            peers.rig.pass(gap);
+                            peers.rig.pass(gapMs);
                         }
                         for (int i = 0; i < 30 && worker.completed < 2; i++) {
                             if (!worker.step()) {
@@ -164,7 +165,7 @@
                             }
                         }
                         assertThat(worker.completed)
-                                .as("jobs at %d and %d, hold %s, gap %s", first, second, hold, gap)
+                                .as("jobs at %d and %d, hold %s, gap %s", first, second, holdMs, gapMs)
                                 .isEqualTo(2);
                         assertThat(scenario.counters.of("gearman.not_grabbed")).isZero();
                     }
@@ -347,7 +348,7 @@
         return codes;
     }
 
-    /** Mutated packets cause no fault and break no guard, and another client's job is still assigned. */
+    /** Mutated packets cause no fault and violate no rule of the dispatch guard, and another client's job is still assigned. */
     @Property(tries = 400, seed = "400")
     void mutatedPacketsDoNotAffectOtherClients(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int packets) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
--- a/src/test/java/plumpost/gearman/GearmanTest.java
+++ b/src/test/java/plumpost/gearman/GearmanTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumpost.Scenario;
 
-/** Tests the Gearman front with clients and workers in memory. A worker is warm after the wait in {@link #WORKER}. */
+/** Tests the Gearman front with clients and workers in memory. The worker is warm after the wait in WORKER. */
 class GearmanTest {
 
     /** Silent connections must not use up the connection limit; one that has sent something is never closed for it. */
