--- a/src/test/java/plumpost/gearman/GearmanTest.java
+++ b/src/test/java/plumpost/gearman/GearmanTest.java
@@ -245,7 +245,7 @@
 
     /** A job that a woken worker does not grab within a second ends there as never started, and its client waits on. */
     @Test
-    void jobThatIsNotGrabbedGoesToAnotherWorker() {
+    void jobThatIsNotGrabbedEndsAsNeverStarted() {
         Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*\nwait 1010");
         assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
         scenario.play("plug1 expect nothing");
