--- a/src/main/java/plumpost/gearman/FleetJobs.java
+++ b/src/main/java/plumpost/gearman/FleetJobs.java
@@ -12,15 +12,17 @@
 import plumpost.gearman.FunctionTable.Function;
 import plumpost.peers.Fleet;
 
-/** Scheduled jobs of a fleet at one front: planned with the others, and run here where the fleet says so. */
+/** The scheduled jobs of one front in a fleet: plans them with the fleet, and runs those that the fleet assigns here. */
 final class FleetJobs {
-    private final GearmanFront door;
+    private final GearmanFront front;
     private final Fleet fleet;
+    /** The planned jobs in this core, by the id that the fleet knows them by. */
     private final Map<String, OpenJob> running = new HashMap<>();
+
     private final Map<String, Reply> replies = new HashMap<>();
 
-    FleetJobs(GearmanFront door, Fleet fleet) {
-        this.door = door;
+    FleetJobs(GearmanFront front, Fleet fleet) {
+        this.front = front;
         this.fleet = fleet;
     }
 
@@ -28,88 +30,95 @@
         return fleet;
     }
 
-    /** Plans a job with the fleet; then says what its client is told. */
-    void plan(JobRequest sheet, double atMs, java.util.function.Consumer<Fleet.Said> then) {
-        byte[] body = new byte[sheet.body().remaining()];
-        sheet.body().duplicate().get(body);
-        String unique = sheet.work().unique();
-        boolean again = door.set.classes().get(sheet.cls()).effect() != Dispatcher.Effect.SINGLE_SHOT;
+    /** Plans a job with the fleet and passes on the fleet's answer. */
+    void plan(JobRequest request, double atMs, java.util.function.Consumer<Fleet.Said> onAnswer) {
+        byte[] body = new byte[request.body().remaining()];
+        request.body().duplicate().get(body);
+        String unique = request.work().unique();
+        boolean mayRunTwice = front.settings.classes().get(request.cls()).effect() != Dispatcher.Effect.SINGLE_SHOT;
         fleet.plan(
                 new Fleet.Job(
-                        door.handle(sheet.id()), sheet.work().name(), unique == null ? "" : unique, body, atMs, again),
-                then);
+                        front.handleOf(request.id()),
+                        request.work().name(),
+                        unique == null ? "" : unique,
+                        body,
+                        atMs,
+                        mayRunTwice),
+                onAnswer);
     }
 
-    /** The planned job under a function and key, or null. */
-    Fleet.Job under(JobRequest sheet) {
-        return sheet.work().unique() == null
+    /** The planned job with the same function and unique key, or null. */
+    Fleet.Job findByKey(JobRequest request) {
+        return request.work().unique() == null
                 ? null
-                : fleet.planned(sheet.work().name(), sheet.work().unique());
+                : fleet.planned(request.work().name(), request.work().unique());
     }
 
-    /** Hands a job in that is this scheduler's to run now; false where it cannot be taken. */
+    /** Submits a planned job to the core. Returns false if it cannot be accepted now. */
     boolean run(Fleet.Job job) {
-        Function f = door.functions.find(job.function());
-        if (f == null || door.stopping() || !door.room.hasRoom(job.body().length)) {
+        Function function = front.functions.findOrAdd(job.function());
+        if (function == null || front.stopping() || !front.core.hasRoom(job.body().length)) {
             return false;
         }
         String unique = job.unique().isEmpty() ? null : job.unique();
-        double patience = door.config.backgroundMs();
-        JobRequest sheet = new JobRequest(
-                door.newId(),
-                f.cls,
+        double patienceMs = front.config.backgroundMs();
+        JobRequest request = new JobRequest(
+                front.newId(),
+                function.classIndex,
                 null,
                 ByteBuffer.wrap(job.body()),
-                patience,
+                patienceMs,
                 Double.NaN,
                 1,
                 Double.NaN,
                 0,
                 null,
                 false,
-                unique == null ? null : ClientSession.key(f, unique),
-                new JobRequest.Work(f.kind, f.name, unique, null, 0, patience));
+                unique == null ? null : ClientSession.uniqueKey(function, unique),
+                new JobRequest.Work(function.kind, function.name, unique, null, 0, patienceMs));
         Reply reply = new Reply(job.id());
-        OpenJob e = door.room.take(sheet, reply);
-        if (e != null && !reply.over) {
-            running.put(job.id(), e);
+        OpenJob openJob = front.core.take(request, reply);
+        if (openJob != null && !reply.ended) {
+            running.put(job.id(), openJob);
             replies.put(job.id(), reply);
         }
         return true;
     }
 
-    /** What no worker has is called off; it goes back to the fleet as never seen by anybody. */
-    void callBack(String id) {
-        OpenJob e = running.get(id);
-        if (e != null) {
+    /** Cancels a job that no worker has, and returns it to the fleet as never started. */
+    void recall(String id) {
+        OpenJob openJob = running.get(id);
+        if (openJob != null) {
             Reply reply = replies.get(id);
             reply.unstarted = true;
-            reply.unstarted = door.room.callOff(e);
+            reply.unstarted = front.core.callOff(openJob);
         }
     }
 
-    /** The scheduler ends: all that no worker has goes back. */
-    void callBackAll() {
-        new ArrayList<>(running.keySet()).forEach(this::callBack);
+    /** Returns all jobs that no worker has to the fleet, since the scheduler stops. */
+    void recallAll() {
+        new ArrayList<>(running.keySet()).forEach(this::recall);
     }
 
-    /** Handles of what is planned and over at nobody yet, for the admin's list. */
-    List<String> handles() {
+    /** Handles of the planned jobs that no scheduler was told to run yet, for the admin command {@code show jobs}. */
+    List<String> plannedHandles() {
         return fleet.plannedIds();
     }
 
-    /** Waits for a planned job's answer in place of a client. */
+    /** Takes the outcome of a planned job in place of a client, and reports to the fleet that the job has ended. */
     private final class Reply implements ReplyTo {
         private final String id;
+        /** The job is cancelled before a worker had it, so that its end counts as never started. */
         private boolean unstarted;
-        private boolean over;
+
+        private boolean ended;
 
         Reply(String id) {
             this.id = id;
         }
 
         private void end(boolean neverRan) {
-            over = true;
+            ended = true;
             running.remove(id);
             replies.remove(id);
             fleet.ended(id, neverRan);
@@ -122,7 +131,7 @@
 
         @Override
         public void refused(double retryAfterMs) {
-            end(true); // a refusal says that it never ran: the fleet has it run elsewhere or later
+            end(true); // a refused job never ran: the fleet runs it elsewhere or later
         }
 
         @Override
--- a/src/main/java/plumpost/gearman/Packet.java
+++ b/src/main/java/plumpost/gearman/Packet.java
@@ -6,10 +6,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** One packet of Gearman's binary protocol: its type, and its arguments as the type splits them. */
+/**
+ * One packet of Gearman's binary protocol.
+ *
+ * @param type the packet type
+ * @param parts the arguments, as many as the type has
+ */
 public record Packet(Type type, List<ByteBuffer> parts) {
 
-    /** Packet types by their numbers, each with the number of its arguments. */
+    /** Packet types, each with its number in the protocol and the number of its arguments. */
     public enum Type {
         CAN_DO(1, 1),
         CANT_DO(2, 1),
@@ -62,67 +67,69 @@
         }
 
         final int code;
-        final int count;
+        final int argumentCount;
         final String inCounter;
         final String outCounter;
 
-        Type(int code, int count) {
+        Type(int code, int argumentCount) {
             this.code = code;
-            this.count = count;
+            this.argumentCount = argumentCount;
             inCounter = "gearman.in." + name();
             outCounter = "gearman.out." + name();
         }
 
-        /** How many arguments a packet of this type has. */
+        /** Returns how many arguments a packet of this type has. */
         public int arguments() {
-            return count;
+            return argumentCount;
         }
 
-        /** The type of a number, or null. */
+        /** Returns the type with this number, or null. */
         public static Type of(int code) {
             return BY_CODE.get(code);
         }
     }
 
-    /** The head of a packet that a client or worker sends. */
+    /** Magic code of a packet that a client or worker sends. */
     public static final int REQUEST = 0x00524551;
-    /** The head of a packet that a server sends. */
+    /** Magic code of a packet that a server sends. */
     public static final int RESPONSE = 0x00524553;
 
-    /** An argument as text. */
-    public String text(int i) {
-        return StandardCharsets.UTF_8.decode(parts.get(i).duplicate()).toString();
+    /** Returns an argument decoded as UTF-8. */
+    public String text(int index) {
+        return StandardCharsets.UTF_8.decode(parts.get(index).duplicate()).toString();
     }
 
-    private static final int COPIED = 1024;
+    /** Data of more bytes than this is not copied but written from a buffer of its own. */
+    private static final int MAX_COPIED_BYTES = 1024;
 
-    /** The bytes of a packet, ready to be written in order: one buffer, and a second for much data at its end. */
+    /** Encodes a packet into buffers to be written in order: one, and a second if its last argument is large data. */
     public static ByteBuffer[] bytes(int magic, Type type, Object... arguments) {
         Object last = arguments.length == 0 ? null : arguments[arguments.length - 1];
-        ByteBuffer data = last instanceof ByteBuffer b && b.remaining() > COPIED ? b.duplicate() : null;
+        ByteBuffer data =
+                last instanceof ByteBuffer buffer && buffer.remaining() > MAX_COPIED_BYTES ? buffer.duplicate() : null;
         byte[][] texts = new byte[arguments.length][];
-        int size = Math.max(0, arguments.length - 1);
+        int bodySize = Math.max(0, arguments.length - 1);
         for (int i = 0; i < arguments.length; i++) {
-            if (arguments[i] instanceof ByteBuffer b) {
-                size += b.remaining();
+            if (arguments[i] instanceof ByteBuffer buffer) {
+                bodySize += buffer.remaining();
             } else {
                 texts[i] = String.valueOf(arguments[i]).getBytes(StandardCharsets.UTF_8);
-                size += texts[i].length;
+                bodySize += texts[i].length;
             }
         }
-        ByteBuffer all = ByteBuffer.allocate(12 + size - (data == null ? 0 : data.remaining()));
-        all.putInt(magic).putInt(type.code).putInt(size);
+        ByteBuffer packet = ByteBuffer.allocate(12 + bodySize - (data == null ? 0 : data.remaining()));
+        packet.putInt(magic).putInt(type.code).putInt(bodySize);
         for (int i = 0; i < arguments.length; i++) {
             if (i > 0) {
-                all.put((byte) 0);
+                packet.put((byte) 0);
             }
             if (texts[i] != null) {
-                all.put(texts[i]);
+                packet.put(texts[i]);
             } else if (data == null || i < arguments.length - 1) {
-                all.put(((ByteBuffer) arguments[i]).duplicate());
+                packet.put(((ByteBuffer) arguments[i]).duplicate());
             }
         }
-        all.flip();
-        return data == null ? new ByteBuffer[] {all} : new ByteBuffer[] {all, data};
+        packet.flip();
+        return data == null ? new ByteBuffer[] {packet} : new ByteBuffer[] {packet, data};
     }
 }
