--- a/src/main/java/plumpost/fleet/Beats.java
+++ b/src/main/java/plumpost/fleet/Beats.java
@@ -17,79 +17,82 @@
  * any steady clock.
  */
 public final class Beats {
-    private record Life(String name, long incarnation) {}
+    private record SessionKey(String name, long incarnation) {}
 
     private final double suspectMs;
     private final double lostMs;
-    private final double stoppedMs;
-    private final Map<Life, Double> heard = new HashMap<>();
+    private final double maxCheckGapMs;
+    private final Map<SessionKey, Double> lastHeard = new HashMap<>();
     /** When each life was first seen in the book by this leader: its time runs from then, not from the leader's start. */
-    private final Map<Life, Double> known = new HashMap<>();
+    private final Map<SessionKey, Double> firstSeen = new HashMap<>();
 
-    private final Set<Life> late = new HashSet<>();
-    private double since = Double.NaN;
-    private double lookedAt;
+    private final Set<SessionKey> lagging = new HashSet<>();
+    private double leadingSinceMs = Double.NaN;
+    private double lastCheckMs;
 
     /** {@code stoppedMs}: two looks farther apart than this mean that the leader itself was stopped meanwhile. */
-    public Beats(double suspectMs, double lostMs, double stoppedMs) {
+    public Beats(double suspectMs, double lostMs, double maxCheckGapMs) {
         this.suspectMs = suspectMs;
         this.lostMs = lostMs;
-        this.stoppedMs = stoppedMs;
+        this.maxCheckGapMs = maxCheckGapMs;
     }
 
     /** This process leads from now on. */
     public void lead(double nowMs) {
-        heard.clear();
-        late.clear();
-        known.clear();
-        since = nowMs;
-        lookedAt = nowMs;
+        lastHeard.clear();
+        lagging.clear();
+        firstSeen.clear();
+        leadingSinceMs = nowMs;
+        lastCheckMs = nowMs;
     }
 
     /** A life was heard, whose copy of the book has been behind for so long: it keeps its life and gets nothing new. */
     public void beat(String name, long incarnation, double nowMs, double behindMs) {
-        Life life = new Life(name, incarnation);
-        heard.put(life, nowMs);
+        SessionKey key = new SessionKey(name, incarnation);
+        lastHeard.put(key, nowMs);
         if (behindMs >= suspectMs) {
-            late.add(life);
+            lagging.add(key);
         } else {
-            late.remove(life);
+            lagging.remove(key);
         }
     }
 
-    private static boolean over(Life l, Collection<Session> sessions) {
+    private static boolean hasEnded(SessionKey key, Collection<Session> sessions) {
         return sessions.stream()
-                .noneMatch(s -> s.name().equals(l.name) && s.incarnation() == l.incarnation && s.live());
+                .noneMatch(session ->
+                        session.name().equals(key.name) && session.incarnation() == key.incarnation && session.live());
     }
 
     /** What is to be proposed now, under the leader's term. */
     public List<Entry> look(Collection<Session> sessions, long term, double nowMs) {
-        if (Double.isNaN(since) || nowMs - lookedAt > stoppedMs) {
+        if (Double.isNaN(leadingSinceMs) || nowMs - lastCheckMs > maxCheckGapMs) {
             lead(nowMs);
         }
-        lookedAt = nowMs;
-        List<Entry> all = new ArrayList<>();
-        heard.keySet().removeIf(l -> over(l, sessions));
-        known.keySet().removeIf(l -> over(l, sessions));
-        late.removeIf(l -> over(l, sessions));
-        for (Session s : sessions) {
-            if (s.live()) {
-                Double last = heard.get(new Life(s.name(), s.incarnation()));
-                double first = known.computeIfAbsent(new Life(s.name(), s.incarnation()), l -> nowMs);
-                double silent = nowMs - (last == null ? first : last);
-                Entry.Verdict v = silent >= lostMs
+        lastCheckMs = nowMs;
+        List<Entry> proposals = new ArrayList<>();
+        lastHeard.keySet().removeIf(key -> hasEnded(key, sessions));
+        firstSeen.keySet().removeIf(key -> hasEnded(key, sessions));
+        lagging.removeIf(key -> hasEnded(key, sessions));
+        for (Session session : sessions) {
+            if (session.live()) {
+                Double lastMs = lastHeard.get(new SessionKey(session.name(), session.incarnation()));
+                double firstMs =
+                        firstSeen.computeIfAbsent(new SessionKey(session.name(), session.incarnation()), key -> nowMs);
+                double silentMs = nowMs - (lastMs == null ? firstMs : lastMs);
+                Entry.Verdict verdict = silentMs >= lostMs
                         ? Entry.Verdict.LOST
-                        : silent >= suspectMs || late.contains(new Life(s.name(), s.incarnation()))
+                        : silentMs >= suspectMs
+                                        || lagging.contains(new SessionKey(session.name(), session.incarnation()))
                                 ? Entry.Verdict.SUSPECT
-                                : last == null ? null : Entry.Verdict.ALIVE;
-                boolean same = v == Entry.Verdict.ALIVE && s.state() == State.ALIVE
-                        || v == Entry.Verdict.SUSPECT && s.state() == State.SUSPECT
-                        || v != Entry.Verdict.LOST && s.state() == State.LEAVING;
-                if (v != null && !same) {
-                    all.add(new Entry.Judge(s.name(), s.incarnation(), v, term));
+                                : lastMs == null ? null : Entry.Verdict.ALIVE;
+                boolean unchanged = verdict == Entry.Verdict.ALIVE && session.state() == State.ALIVE
+                        || verdict == Entry.Verdict.SUSPECT && session.state() == State.SUSPECT
+                        || verdict != Entry.Verdict.LOST && session.state() == State.LEAVING;
+                if (verdict != null && !unchanged) {
+                    proposals.add(new Entry.Judge(session.name(), session.incarnation(), verdict, term));
                 }
             }
         }
-        return all;
+        return proposals;
     }
 }
--- a/src/main/java/plumpost/fleet/DiscoveryRunner.java
+++ b/src/main/java/plumpost/fleet/DiscoveryRunner.java
@@ -13,101 +13,107 @@
     private final Member member;
     private final Host host;
     private final String duty;
-    private final double ageMs;
-    private final double spreadMs;
-    private double wordAt;
-    private boolean asks;
-    private boolean began;
+    private final double maxAgeMs;
+    private final double extraDelayMs;
+    private double lastReportMs;
+    private boolean asking;
+    private boolean started;
     /** What discovery told this owner and the log has not: told in order, one at a time, each until it is applied. */
-    private final ArrayDeque<Entry.Word> untold = new ArrayDeque<>();
+    private final ArrayDeque<Entry.Word> pendingReports = new ArrayDeque<>();
 
-    DiscoveryRunner(Member member, Host host, String duty, double ageMs) {
+    DiscoveryRunner(Member member, Host host, String duty, double maxAgeMs) {
         this.member = member;
         this.host = host;
         this.duty = duty;
-        this.ageMs = ageMs;
-        this.spreadMs = ageMs * ((member.name().hashCode() * 0x9E3779B9 >>> 8) / (double) (1 << 24));
-        this.wordAt = Double.NaN;
+        this.maxAgeMs = maxAgeMs;
+        this.extraDelayMs = maxAgeMs * ((member.name().hashCode() * 0x9E3779B9 >>> 8) / (double) (1 << 24));
+        this.lastReportMs = Double.NaN;
     }
 
     /** A word of some site's owner was applied. */
-    void told(Entry.Word w) {
-        if (w.duty().equals(duty)) {
-            wordAt = member.nowMs();
-            Entry.Word first = untold.peek();
-            if (first != null && first.seq() == w.seq() && first.text().equals(w.text())) {
-                untold.poll();
-            } else if (!w.text().isEmpty()) {
-                host.told(w.text());
+    void onReportApplied(Entry.Word report) {
+        if (report.duty().equals(duty)) {
+            lastReportMs = member.nowMs();
+            Entry.Word first = pendingReports.peek();
+            if (first != null && first.seq() == report.seq() && first.text().equals(report.text())) {
+                pendingReports.poll();
+            } else if (!report.text().isEmpty()) {
+                host.told(report.text());
             }
-            tell();
+            proposeNext();
         }
     }
 
     /** A snapshot took the place of entries: the words in it are told again from the whole on. */
     void restored() {
-        List<Entry.Word> words = duty == null ? List.of() : member.view().words(duty);
-        if (!words.isEmpty()) {
-            wordAt = member.nowMs();
-            words.forEach(w -> host.told(w.text()));
+        List<Entry.Word> reports = duty == null ? List.of() : member.state().discoveryReports(duty);
+        if (!reports.isEmpty()) {
+            lastReportMs = member.nowMs();
+            reports.forEach(report -> host.told(report.text()));
         }
     }
 
     /** Discovery itself told this process something. */
-    void heard(String line, long seq, boolean whole) {
+    void onDiscoveryLine(String line, long seq, boolean whole) {
         if (duty == null || member.fence(duty) == 0) {
             return;
         }
         if (whole) {
-            untold.clear();
+            pendingReports.clear();
         }
         if (line.length() < FleetCodec.MOST_BYTES / 2) {
-            untold.add(new Entry.Word(duty, 0, seq, whole, line));
+            pendingReports.add(new Entry.Word(duty, 0, seq, whole, line));
         } else {
             member.count("discovery_too_long"); // each asks itself, when this owner's word is old
         }
-        tell();
+        proposeNext();
     }
 
-    private void tell() {
-        Entry.Word w = untold.peek();
+    private void proposeNext() {
+        Entry.Word report = pendingReports.peek();
         long fence = member.fence(duty);
-        if (w != null && fence > 0) {
-            member.once("word " + w.seq(), new Entry.Word(duty, fence, w.seq(), w.whole(), w.text()), o -> {
-                if (o != null && !o.done() && o.words().startsWith("the whole list")) {
-                    untold.clear();
-                    host.ask(true, true);
-                }
-            });
+        if (report != null && fence > 0) {
+            member.proposeOnce(
+                    "word " + report.seq(),
+                    new Entry.Word(duty, fence, report.seq(), report.whole(), report.text()),
+                    outcome -> {
+                        if (outcome != null
+                                && !outcome.done()
+                                && outcome.words().startsWith("the whole list")) {
+                            pendingReports.clear();
+                            host.ask(true, true);
+                        }
+                    });
         }
     }
 
-    void look() {
+    void poll() {
         if (duty == null) {
             return;
         }
-        double now = member.nowMs();
-        if (!began) {
-            began = true;
-            wordAt = now;
+        double nowMs = member.nowMs();
+        if (!started) {
+            started = true;
+            lastReportMs = nowMs;
         }
         boolean owner = member.fence(duty) > 0;
-        boolean old = now - wordAt > ageMs + spreadMs;
-        boolean should = owner || old;
-        if (should != asks) {
-            asks = should;
-            member.count(should ? "discovery_asked" : "discovery_followed");
-            host.ask(should, false);
+        boolean expired = nowMs - lastReportMs > maxAgeMs + extraDelayMs;
+        boolean shouldAsk = owner || expired;
+        if (shouldAsk != asking) {
+            asking = shouldAsk;
+            member.count(shouldAsk ? "discovery_asked" : "discovery_followed");
+            host.ask(shouldAsk, false);
         }
         if (!owner) {
-            untold.clear();
-        } else if (untold.isEmpty()
+            pendingReports.clear();
+        } else if (pendingReports.isEmpty()
                 && host.hears()
-                && now - wordAt > ageMs / 3
-                && !member.view().words(duty).isEmpty()) {
-            member.once("word", new Entry.Word(duty, member.fence(duty), 0, false, ""), o -> {}); // it still holds
+                && nowMs - lastReportMs > maxAgeMs / 3
+                && !member.state().discoveryReports(duty).isEmpty()) {
+            member.proposeOnce(
+                    "word", new Entry.Word(duty, member.fence(duty), 0, false, ""), outcome -> {}); // it still holds
         } else {
-            tell();
+            proposeNext();
         }
     }
 }
--- a/src/main/java/plumpost/fleet/Duties.java
+++ b/src/main/java/plumpost/fleet/Duties.java
@@ -18,18 +18,18 @@
  */
 public final class Duties {
     /** Named duties at once. */
-    static final int MOST = 1024;
+    static final int MAX_DUTIES = 1024;
 
     /** A duty: {@code owner} is empty while nobody can take it; the fence then names the last ownership. */
     public record Duty(String name, String site, String owner, long incarnation, long fence) {
         /** Whether this life owns it under this fence. */
-        public boolean heldBy(String who, long life, long under) {
-            return owner.equals(who) && incarnation == life && fence == under;
+        public boolean ownedBy(String memberName, long ownerIncarnation, long ownerFence) {
+            return owner.equals(memberName) && incarnation == ownerIncarnation && fence == ownerFence;
         }
     }
 
     private final TreeMap<String, Duty> byName = new TreeMap<>();
-    private long fences;
+    private long lastFence;
 
     /** All, by name. */
     public Collection<Duty> all() {
@@ -37,113 +37,118 @@
     }
 
     /** A duty, or null. */
-    public Duty of(String name) {
+    public Duty find(String name) {
         return byName.get(name);
     }
 
     /** Adds the duties that a newcomer can take. */
-    void offered(Collection<Offer> offers) {
-        for (Offer o : offers) {
-            if (byName.size() < MOST) {
-                byName.putIfAbsent(o.duty(), new Duty(o.duty(), o.site(), "", 0, 0));
+    void addOffered(Collection<Offer> offers) {
+        for (Offer offer : offers) {
+            if (byName.size() < MAX_DUTIES) {
+                byName.putIfAbsent(offer.duty(), new Duty(offer.duty(), offer.site(), "", 0, 0));
             }
         }
     }
 
     /** Why an act under a fence is not the owner's, or null where it is. */
-    String wrong(String duty, long fence) {
-        Duty d = byName.get(duty);
-        return d == null
-                ? "no duty " + duty
-                : d.owner.isEmpty()
-                        ? duty + " has no owner"
-                        : d.fence == fence ? null : "fence " + fence + " of " + duty + " is old, " + d.fence + " holds";
+    String fenceError(String dutyName, long fence) {
+        Duty duty = byName.get(dutyName);
+        return duty == null
+                ? "no duty " + dutyName
+                : duty.owner.isEmpty()
+                        ? dutyName + " has no owner"
+                        : duty.fence == fence
+                                ? null
+                                : "fence " + fence + " of " + dutyName + " is old, " + duty.fence + " holds";
     }
 
     /** The owner passes it on, to another where there is one. */
-    Outcome yield(Entry.Yield y, Sessions sessions, Collection<News> news) {
-        String why = wrong(y.duty(), y.fence());
-        if (why != null) {
-            return Outcome.refused(why);
+    Outcome yield(Entry.Yield command, Sessions sessions, Collection<News> events) {
+        String refusal = fenceError(command.duty(), command.fence());
+        if (refusal != null) {
+            return Outcome.refused(refusal);
         }
-        Duty d = byName.get(y.duty());
-        Session next = best(d, sessions, d.owner);
+        Duty duty = byName.get(command.duty());
+        Session next = bestCandidate(duty, sessions, duty.owner);
         if (next == null) {
-            return Outcome.refused("nobody else can take " + d.name);
+            return Outcome.refused("nobody else can take " + duty.name);
         }
-        give(d, next, news);
-        return Outcome.done(fences);
+        assign(duty, next, events);
+        return Outcome.done(lastFence);
     }
 
     /** After each change of membership: every duty that can have an owner gets one, and the load is levelled. */
-    void settle(Sessions sessions, Collection<News> news) {
-        for (Duty d : List.copyOf(byName.values())) {
-            if (!owned(d, sessions)) {
-                Session next = best(d, sessions, "");
+    void reassign(Sessions sessions, Collection<News> events) {
+        for (Duty duty : List.copyOf(byName.values())) {
+            if (!hasActiveOwner(duty, sessions)) {
+                Session next = bestCandidate(duty, sessions, "");
                 if (next != null) {
-                    give(d, next, news);
-                } else if (!d.owner.isEmpty()) {
-                    byName.put(d.name, new Duty(d.name, d.site, "", 0, d.fence));
-                    news.add(new News.Owned(byName.get(d.name), d.owner));
+                    assign(duty, next, events);
+                } else if (!duty.owner.isEmpty()) {
+                    byName.put(duty.name, new Duty(duty.name, duty.site, "", 0, duty.fence));
+                    events.add(new News.OwnerChanged(byName.get(duty.name), duty.owner));
                 }
             }
         }
-        for (Duty d : List.copyOf(byName.values())) {
-            Session next = d.owner.isEmpty() ? null : best(d, sessions, d.owner);
+        for (Duty duty : List.copyOf(byName.values())) {
+            Session next = duty.owner.isEmpty() ? null : bestCandidate(duty, sessions, duty.owner);
             if (next != null) {
-                boolean comesHome = !atHome(d, sessions.of(d.owner)) && atHome(d, next);
-                boolean leavesHome = atHome(d, sessions.of(d.owner)) && !atHome(d, next);
-                int gap = load(d.owner) - load(next.name());
-                if (comesHome || !leavesHome && gap >= 2) {
-                    give(d, next, news);
+                boolean movesToSite = !atSite(duty, sessions.of(duty.owner)) && atSite(duty, next);
+                boolean leavesSite = atSite(duty, sessions.of(duty.owner)) && !atSite(duty, next);
+                int gap = dutyCount(duty.owner) - dutyCount(next.name());
+                if (movesToSite || !leavesSite && gap >= 2) {
+                    assign(duty, next, events);
                 }
             }
         }
     }
 
-    private boolean owned(Duty d, Sessions sessions) {
-        return !d.owner.isEmpty()
-                && sessions.live(d.owner, d.incarnation)
-                && sessions.of(d.owner).state() != State.LEAVING
-                && sessions.of(d.owner).offers(d.name);
+    private boolean hasActiveOwner(Duty duty, Sessions sessions) {
+        return !duty.owner.isEmpty()
+                && sessions.live(duty.owner, duty.incarnation)
+                && sessions.of(duty.owner).state() != State.LEAVING
+                && sessions.of(duty.owner).offers(duty.name);
     }
 
-    private static boolean atHome(Duty d, Session s) {
-        return d.site.isEmpty() || s.site().equals(d.site);
+    private static boolean atSite(Duty duty, Session session) {
+        return duty.site.isEmpty() || session.site().equals(duty.site);
     }
 
-    private int load(String who) {
-        return (int) byName.values().stream().filter(d -> d.owner.equals(who)).count();
+    private int dutyCount(String memberName) {
+        return (int) byName.values().stream()
+                .filter(duty -> duty.owner.equals(memberName))
+                .count();
     }
 
-    private Session best(Duty d, Sessions sessions, String not) {
+    private Session bestCandidate(Duty duty, Sessions sessions, String excluded) {
         Map<String, Integer> loads = new HashMap<>();
         byName.values().forEach(x -> loads.merge(x.owner, 1, Integer::sum));
         return sessions.all().stream()
-                .filter(s -> s.state() == State.ALIVE && !s.name().equals(not) && s.offers(d.name))
-                .min(Comparator.comparing((Session s) -> !atHome(d, s))
-                        .thenComparing(s -> loads.getOrDefault(s.name(), 0))
+                .filter(session ->
+                        session.state() == State.ALIVE && !session.name().equals(excluded) && session.offers(duty.name))
+                .min(Comparator.comparing((Session session) -> !atSite(duty, session))
+                        .thenComparing(session -> loads.getOrDefault(session.name(), 0))
                         .thenComparing(Session::name))
                 .orElse(null);
     }
 
-    private void give(Duty d, Session to, Collection<News> news) {
-        Duty next = new Duty(d.name, d.site, to.name(), to.incarnation(), ++fences);
-        byName.put(d.name, next);
-        news.add(new News.Owned(next, d.owner));
+    private void assign(Duty duty, Session to, Collection<News> events) {
+        Duty next = new Duty(duty.name, duty.site, to.name(), to.incarnation(), ++lastFence);
+        byName.put(duty.name, next);
+        events.add(new News.OwnerChanged(next, duty.owner));
     }
 
     /** What a snapshot keeps of it. */
-    public record Image(List<Duty> duties, long fences) {}
+    public record Snapshot(List<Duty> duties, long lastFence) {}
 
-    Image image() {
-        return new Image(new ArrayList<>(byName.values()), fences);
+    Snapshot snapshot() {
+        return new Snapshot(new ArrayList<>(byName.values()), lastFence);
     }
 
-    static Duties of(Image image) {
-        Duties d = new Duties();
-        image.duties.forEach(x -> d.byName.put(x.name, x));
-        d.fences = image.fences;
-        return d;
+    static Duties fromSnapshot(Snapshot snapshot) {
+        Duties restored = new Duties();
+        snapshot.duties.forEach(duty -> restored.byName.put(duty.name, duty));
+        restored.lastFence = snapshot.lastFence;
+        return restored;
     }
 }
--- a/src/main/java/plumpost/fleet/Entry.java
+++ b/src/main/java/plumpost/fleet/Entry.java
@@ -18,7 +18,14 @@
      * begins one life; {@code disk} is the identity of its data directory; {@code reads} the newest record format that
      * its program reads.
      */
-    record Join(String name, String site, String disk, boolean vote, String nonce, int reads, List<Offer> offers)
+    record Join(
+            String name,
+            String site,
+            String directoryId,
+            boolean voter,
+            String nonce,
+            int maxFormat,
+            List<Offer> offers)
             implements Entry {}
 
     /** What a leader thinks of a life that it has not heard; {@code term} is its own term: an old leader is not believed. */
@@ -47,7 +54,7 @@
     record Yield(String duty, long fence) implements Entry {}
 
     /** A route node taken out by hand, or called back. */
-    record Ban(String node, boolean out) implements Entry {}
+    record Ban(String node, boolean banned) implements Entry {}
 
     /** What discovery told the owner of a site's duty; {@code text} are list lines, whole or since the former word. */
     record Word(String duty, long fence, long seq, boolean whole, String text) implements Entry {}
@@ -56,7 +63,8 @@
      * A job that is to start at a time, in Unix milliseconds; its id is the handle that its client was given; {@code
      * again} says whether it may run twice. A second job under one key is the first one.
      */
-    record Plan(String id, String function, String unique, byte[] body, double atMs, boolean again) implements Entry {}
+    record Plan(String id, String function, String unique, byte[] body, double startMs, boolean repeatable)
+            implements Entry {}
 
     /** The schedule's owner gives a job whose time has come to a life that is to run it. */
     record Fire(String id, long fence, String target, long incarnation) implements Entry {}
@@ -71,18 +79,18 @@
     record CallOff(String id) implements Entry {}
 
     /** A life that speaks. */
-    record By(String name, long incarnation) {}
+    record SessionId(String name, long incarnation) {}
 
     /** A life takes a covered order, and holds it; the id is the handle that its client is given. */
     record Take(
-            By by,
+            SessionId session,
             String id,
             String function,
             String unique,
             byte[] body,
             int priority,
             double patienceMs,
-            boolean again,
+            boolean repeatable,
             boolean background)
             implements Entry {}
 
@@ -90,14 +98,14 @@
      * What a life says of an order: that it is about to hand it out (LEASE; {@code lease} is then the latest before it),
      * or what came of it under a lease, with what its worker made or said.
      */
-    record Told(By by, String id, OrderLife.Event event, int lease, byte[] result) implements Entry {}
+    record Told(SessionId session, String id, OrderLife.Event event, int lease, byte[] result) implements Entry {}
 
     /** A life takes free orders over. */
-    record Claim(By by, List<String> ids) implements Entry {}
+    record Claim(SessionId session, List<String> ids) implements Entry {}
 
     /** A life gives orders back that it holds and has not handed out. */
-    record Release(By by, List<String> ids) implements Entry {}
+    record Release(SessionId session, List<String> ids) implements Entry {}
 
     /** The ledger's owner: whose worker was waited for long enough, and whose outcome was kept long enough. */
-    record Settle(long fence, List<String> given, List<String> forgotten) implements Entry {}
+    record Settle(long fence, List<String> givenUp, List<String> forgotten) implements Entry {}
 }
--- a/src/main/java/plumpost/fleet/FleetBook.java
+++ b/src/main/java/plumpost/fleet/FleetBook.java
@@ -20,120 +20,120 @@
     /** Begins the names of the duties under which discovery is asked; the site follows. */
     public static final String DISCOVERY = "discovery/";
     /** Route nodes out by hand at once. */
-    static final int MOST_BANS = 8192;
+    static final int MAX_BANS = 8192;
     /** Changes of a node list kept behind its whole: then the owner tells the whole again. */
-    static final int MOST_CHANGES = 64;
+    static final int MAX_LIST_CHANGES = 64;
 
     private Sessions sessions = new Sessions();
     private Duties duties = new Duties();
-    private Plans plans = new Plans();
+    private Plans plannedJobs = new Plans();
     private Orders orders = new Orders();
     private final TreeSet<String> bans = new TreeSet<>();
     /** Discovery's latest whole list and what was told since, by duty. */
-    private final TreeMap<String, List<Entry.Word>> words = new TreeMap<>();
+    private final TreeMap<String, List<Entry.Word>> discoveryReports = new TreeMap<>();
 
     /** Applies an entry of a term of the log; what it changed is added to the news. */
-    public Outcome apply(Entry e, long term, Collection<News> news) {
-        Outcome o = applied(e, term, news);
-        if (!o.done()) {
-            news.add(new News.Refused(e, o.words()));
+    public Outcome apply(Entry entry, long term, Collection<News> events) {
+        Outcome outcome = applyEntry(entry, term, events);
+        if (!outcome.done()) {
+            events.add(new News.EntryRefused(entry, outcome.words()));
         }
-        return o;
+        return outcome;
     }
 
-    private Outcome applied(Entry e, long term, Collection<News> news) {
-        if (e instanceof Entry.Join j) {
-            Session before = sessions.of(j.name());
-            Outcome o = sessions.join(j, news);
-            if (o.done()) {
-                duties.offered(j.offers());
-                if (before != null && before.incarnation() != o.number()) {
-                    plans.lost(before.name(), before.incarnation(), news);
-                    orders.lost(before.name(), before.incarnation(), news);
+    private Outcome applyEntry(Entry entry, long term, Collection<News> events) {
+        if (entry instanceof Entry.Join join) {
+            Session previous = sessions.of(join.name());
+            Outcome outcome = sessions.join(join, events);
+            if (outcome.done()) {
+                duties.addOffered(join.offers());
+                if (previous != null && previous.incarnation() != outcome.number()) {
+                    plannedJobs.sessionLost(previous.name(), previous.incarnation(), events);
+                    orders.sessionLost(previous.name(), previous.incarnation(), events);
                 }
-                duties.settle(sessions, news);
+                duties.reassign(sessions, events);
             }
-            return o;
-        } else if (e instanceof Entry.Judge j) {
-            return after(j.name(), sessions.judge(j, term, news), news);
-        } else if (e instanceof Entry.Leave l) {
-            return after(l.name(), sessions.leave(l, news), news);
-        } else if (e instanceof Entry.Remove r) {
-            return after(r.name(), sessions.remove(r, news), news);
-        } else if (e instanceof Entry.Serves s) {
-            return sessions.serves(s, news);
-        } else if (e instanceof Entry.Raise r) {
-            return sessions.raise(r);
-        } else if (e instanceof Entry.Yield y) {
-            return duties.yield(y, sessions, news);
-        } else if (e instanceof Entry.Ban b) {
-            return ban(b, news);
-        } else if (e instanceof Entry.Word w) {
-            return word(w, news);
-        } else if (e instanceof Entry.Plan p) {
-            return plans.plan(p, news);
-        } else if (e instanceof Entry.Fire f) {
-            return plans.fire(f, duties.wrong(SCHEDULE, f.fence()), sessions, news);
-        } else if (e instanceof Entry.Begin b) {
-            return plans.begin(b, sessions, news);
-        } else if (e instanceof Entry.End x) {
-            return plans.end(x, news);
-        } else if (e instanceof Entry.CallOff c) {
-            return plans.callOff(c, news);
-        } else if (e instanceof Entry.Take t) {
-            return orders.take(t, sessions, news);
-        } else if (e instanceof Entry.Told t) {
-            return orders.event(t, sessions, news);
-        } else if (e instanceof Entry.Claim c) {
-            return orders.claim(c, sessions, news);
-        } else if (e instanceof Entry.Release r) {
-            return orders.release(r, news);
+            return outcome;
+        } else if (entry instanceof Entry.Judge join) {
+            return afterMembershipChange(join.name(), sessions.judge(join, term, events), events);
+        } else if (entry instanceof Entry.Leave leave) {
+            return afterMembershipChange(leave.name(), sessions.leave(leave, events), events);
+        } else if (entry instanceof Entry.Remove command) {
+            return afterMembershipChange(command.name(), sessions.remove(command, events), events);
+        } else if (entry instanceof Entry.Serves command) {
+            return sessions.serves(command, events);
+        } else if (entry instanceof Entry.Raise command) {
+            return sessions.raise(command);
+        } else if (entry instanceof Entry.Yield yielded) {
+            return duties.yield(yielded, sessions, events);
+        } else if (entry instanceof Entry.Ban ban) {
+            return applyBan(ban, events);
+        } else if (entry instanceof Entry.Word report) {
+            return applyDiscoveryReport(report, events);
+        } else if (entry instanceof Entry.Plan plan) {
+            return plannedJobs.plan(plan, events);
+        } else if (entry instanceof Entry.Fire fire) {
+            return plannedJobs.fire(fire, duties.fenceError(SCHEDULE, fire.fence()), sessions, events);
+        } else if (entry instanceof Entry.Begin ban) {
+            return plannedJobs.begin(ban, sessions, events);
+        } else if (entry instanceof Entry.End end) {
+            return plannedJobs.end(end, events);
+        } else if (entry instanceof Entry.CallOff command) {
+            return plannedJobs.callOff(command, events);
+        } else if (entry instanceof Entry.Take command) {
+            return orders.take(command, sessions, events);
+        } else if (entry instanceof Entry.Told command) {
+            return orders.applyEvent(command, sessions, events);
+        } else if (entry instanceof Entry.Claim command) {
+            return orders.claim(command, sessions, events);
+        } else if (entry instanceof Entry.Release command) {
+            return orders.release(command, events);
         } else {
-            Entry.Settle s = (Entry.Settle) e;
-            String why = duties.wrong(LEDGER, s.fence());
-            return why == null ? orders.settle(s, news) : Outcome.refused(why);
+            Entry.Settle command = (Entry.Settle) entry;
+            String refusal = duties.fenceError(LEDGER, command.fence());
+            return refusal == null ? orders.settle(command, events) : Outcome.refused(refusal);
         }
     }
 
-    private Outcome after(String name, Outcome o, Collection<News> news) {
-        Session s = sessions.of(name);
-        if (o.done() && s != null) {
-            if (!s.live()) {
-                plans.lost(name, s.incarnation(), news);
-                orders.lost(name, s.incarnation(), news);
-            } else if (s.state() == Sessions.State.LEAVING) {
-                orders.leaving(name, s.incarnation(), news);
+    private Outcome afterMembershipChange(String name, Outcome outcome, Collection<News> events) {
+        Session session = sessions.of(name);
+        if (outcome.done() && session != null) {
+            if (!session.live()) {
+                plannedJobs.sessionLost(name, session.incarnation(), events);
+                orders.sessionLost(name, session.incarnation(), events);
+            } else if (session.state() == Sessions.State.LEAVING) {
+                orders.sessionLeaving(name, session.incarnation(), events);
             }
-            duties.settle(sessions, news);
+            duties.reassign(sessions, events);
         }
-        return o;
+        return outcome;
     }
 
-    private Outcome ban(Entry.Ban b, Collection<News> news) {
-        if (b.out() && bans.size() >= MOST_BANS && !bans.contains(b.node())) {
-            return Outcome.refused(MOST_BANS + " route nodes are out by hand already");
+    private Outcome applyBan(Entry.Ban ban, Collection<News> events) {
+        if (ban.banned() && bans.size() >= MAX_BANS && !bans.contains(ban.node())) {
+            return Outcome.refused(MAX_BANS + " route nodes are out by hand already");
         }
-        if (b.out() ? bans.add(b.node()) : bans.remove(b.node())) {
-            news.add(new News.Banned(b.node(), b.out()));
+        if (ban.banned() ? bans.add(ban.node()) : bans.remove(ban.node())) {
+            events.add(new News.BanChanged(ban.node(), ban.banned()));
         }
         return Outcome.DONE;
     }
 
-    private Outcome word(Entry.Word w, Collection<News> news) {
-        String why = duties.wrong(w.duty(), w.fence());
-        if (why != null) {
-            return Outcome.refused(why);
+    private Outcome applyDiscoveryReport(Entry.Word report, Collection<News> events) {
+        String refusal = duties.fenceError(report.duty(), report.fence());
+        if (refusal != null) {
+            return Outcome.refused(refusal);
         }
-        List<Entry.Word> told = words.computeIfAbsent(w.duty(), d -> new ArrayList<>());
-        if (w.whole()) {
-            told.clear();
-        } else if (told.isEmpty() || told.size() > MOST_CHANGES) {
-            return Outcome.refused("the whole list of " + w.duty() + " is to be told before this change");
+        List<Entry.Word> reports = discoveryReports.computeIfAbsent(report.duty(), d -> new ArrayList<>());
+        if (report.whole()) {
+            reports.clear();
+        } else if (reports.isEmpty() || reports.size() > MAX_LIST_CHANGES) {
+            return Outcome.refused("the whole list of " + report.duty() + " is to be told before this change");
         }
-        if (w.whole() || !w.text().isEmpty()) {
-            told.add(w);
+        if (report.whole() || !report.text().isEmpty()) {
+            reports.add(report);
         }
-        news.add(new News.Told(w));
+        events.add(new News.DiscoveryReported(report));
         return Outcome.DONE;
     }
 
@@ -149,7 +149,7 @@
 
     /** Jobs that wait for their time. */
     public Plans plans() {
-        return plans;
+        return plannedJobs;
     }
 
     /** Covered orders. */
@@ -163,36 +163,43 @@
     }
 
     /** What discovery told under a duty: a whole list and the changes since; empty before its first word. */
-    public List<Entry.Word> words(String duty) {
-        return List.copyOf(words.getOrDefault(duty, List.of()));
+    public List<Entry.Word> discoveryReports(String duty) {
+        return List.copyOf(discoveryReports.getOrDefault(duty, List.of()));
     }
 
     /** All of it, for a snapshot. */
     public record Image(
-            Sessions.Image sessions,
-            Duties.Image duties,
-            Plans.Image plans,
+            Sessions.Snapshot sessions,
+            Duties.Snapshot duties,
+            Plans.Snapshot plannedJobs,
             List<String> bans,
-            List<Entry.Word> words,
-            Orders.Image orders) {}
+            List<Entry.Word> discoveryReports,
+            Orders.Snapshot orders) {}
 
     /** What a snapshot keeps. */
     public Image image() {
-        List<Entry.Word> all = new ArrayList<>();
-        words.values().forEach(all::addAll);
-        return new Image(sessions.image(), duties.image(), plans.image(), new ArrayList<>(bans), all, orders.image());
+        List<Entry.Word> reports = new ArrayList<>();
+        discoveryReports.values().forEach(reports::addAll);
+        return new Image(
+                sessions.snapshot(),
+                duties.snapshot(),
+                plannedJobs.snapshot(),
+                new ArrayList<>(bans),
+                reports,
+                orders.snapshot());
     }
 
     /** Puts a snapshot's content in place of what is here. */
-    public void restore(Image image) {
-        sessions = Sessions.of(image.sessions);
-        duties = Duties.of(image.duties);
-        plans = Plans.of(image.plans);
-        orders = Orders.of(image.orders);
+    public void restore(Image snapshot) {
+        sessions = Sessions.fromSnapshot(snapshot.sessions);
+        duties = Duties.fromSnapshot(snapshot.duties);
+        plannedJobs = Plans.fromSnapshot(snapshot.plannedJobs);
+        orders = Orders.fromSnapshot(snapshot.orders);
         bans.clear();
-        bans.addAll(image.bans);
-        words.clear();
-        image.words.forEach(
-                w -> words.computeIfAbsent(w.duty(), d -> new ArrayList<>()).add(w));
+        bans.addAll(snapshot.bans);
+        discoveryReports.clear();
+        snapshot.discoveryReports.forEach(w -> discoveryReports
+                .computeIfAbsent(w.duty(), d -> new ArrayList<>())
+                .add(w));
     }
 }
--- a/src/main/java/plumpost/fleet/FleetCodec.java
+++ b/src/main/java/plumpost/fleet/FleetCodec.java
@@ -53,51 +53,51 @@
     public static final class Unreadable extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String words, Throwable cause) {
-            super(words, cause);
+        Unreadable(String message, Throwable cause) {
+            super(message, cause);
         }
     }
 
     /** An entry's bytes in a record format, from 1 to {@link #FORMAT}. */
-    public static byte[] bytes(Entry e, int format) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream(128);
-        try (JsonGenerator out = CBOR.createGenerator(all)) {
+    public static byte[] bytes(Entry entry, int format) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
+        try (JsonGenerator out = CBOR.createGenerator(buffer)) {
             out.writeStartArray();
             out.writeNumber(format);
-            out.writeString(e.getClass().getSimpleName());
-            write(out, e);
+            out.writeString(entry.getClass().getSimpleName());
+            write(out, entry);
             out.writeEndArray();
-        } catch (IOException x) {
-            throw new IllegalStateException(x); // memory takes everything
+        } catch (IOException failure) {
+            throw new IllegalStateException(failure); // memory takes everything
         }
-        return all.toByteArray();
+        return buffer.toByteArray();
     }
 
     /** The entry in bytes. */
     public static Entry entry(byte[] bytes) throws Unreadable {
         try (JsonParser in = CBOR.createParser(bytes)) {
-            need(in.nextToken() == JsonToken.START_ARRAY, "no entry");
+            require(in.nextToken() == JsonToken.START_ARRAY, "no entry");
             int format = in.nextIntValue(-1);
-            need(format >= 1 && format <= FORMAT, "record format " + format + ", this program reads 1 to " + FORMAT);
+            require(format >= 1 && format <= FORMAT, "record format " + format + ", this program reads 1 to " + FORMAT);
             String name = in.nextTextValue();
             Class<?> kind = KINDS.get(name);
-            need(kind != null, "unknown kind of entry " + name);
+            require(kind != null, "unknown kind of entry " + name);
             in.nextToken();
-            Entry e = (Entry) read(in, kind);
-            need(in.nextToken() == JsonToken.END_ARRAY, "something follows the entry");
-            return e;
-        } catch (Unreadable e) {
-            throw e;
-        } catch (IOException | RuntimeException e) {
-            throw new Unreadable("the fleet's log holds what is no entry: " + e.getMessage(), e);
+            Entry entry = (Entry) read(in, kind);
+            require(in.nextToken() == JsonToken.END_ARRAY, "something follows the entry");
+            return entry;
+        } catch (Unreadable entry) {
+            throw entry;
+        } catch (IOException | RuntimeException entry) {
+            throw new Unreadable("the fleet's log holds what is no entry: " + entry.getMessage(), entry);
         }
     }
 
     /** An outcome's bytes. */
-    public static byte[] bytes(Outcome r) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream(64);
-        snapshot(r, all);
-        return all.toByteArray();
+    public static byte[] bytes(Outcome outcome) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(64);
+        snapshot(outcome, buffer);
+        return buffer.toByteArray();
     }
 
     /** The outcome in bytes. */
@@ -111,29 +111,29 @@
     }
 
     /** Writes a record whole. */
-    static void snapshot(Record r, OutputStream to) {
-        try (JsonGenerator out = CBOR.createGenerator(to)) {
+    static void snapshot(Record record, OutputStream output) {
+        try (JsonGenerator out = CBOR.createGenerator(output)) {
             out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-            write(out, r);
-        } catch (IOException x) {
-            throw new java.io.UncheckedIOException(x);
+            write(out, record);
+        } catch (IOException failure) {
+            throw new java.io.UncheckedIOException(failure);
         }
     }
 
     /** Writes a book's snapshot: the number of the format that the fleet has agreed on, then its content. */
-    public static void write(FleetBook book, OutputStream to) {
-        snapshot(new Saved(book.sessions().format(), book.image()), to);
+    public static void write(FleetBook state, OutputStream output) {
+        snapshot(new StoredSnapshot(state.sessions().format(), state.image()), output);
     }
 
     /** A snapshot with the format that it is written in. */
-    record Saved(int format, FleetBook.Image image) {}
+    record StoredSnapshot(int format, FleetBook.Image snapshot) {}
 
     /** Reads a book's snapshot. */
-    public static FleetBook.Image snapshot(InputStream from) throws Unreadable {
-        try (JsonParser in = CBOR.createParser(from)) {
-            need(in.nextToken() == JsonToken.START_ARRAY, "no snapshot");
+    public static FleetBook.Image snapshot(InputStream input) throws Unreadable {
+        try (JsonParser in = CBOR.createParser(input)) {
+            require(in.nextToken() == JsonToken.START_ARRAY, "no snapshot");
             int format = in.nextIntValue(-1);
-            need(
+            require(
                     format >= 1 && format <= FORMAT,
                     "snapshot of format " + format + ", this program reads 1 to " + FORMAT);
             in.nextToken();
@@ -145,38 +145,38 @@
         }
     }
 
-    private static void need(boolean holds, String words) throws Unreadable {
-        if (!holds) {
-            throw new Unreadable(words, null);
+    private static void require(boolean condition, String message) throws Unreadable {
+        if (!condition) {
+            throw new Unreadable(message, null);
         }
     }
 
-    private static void write(JsonGenerator out, Object v) throws IOException {
-        if (v instanceof String s) {
-            out.writeString(s);
-        } else if (v instanceof Long n) {
-            out.writeNumber(n);
-        } else if (v instanceof Integer n) {
-            out.writeNumber(n);
-        } else if (v instanceof Double n) {
-            out.writeNumber(n);
-        } else if (v instanceof Boolean b) {
+    private static void write(JsonGenerator out, Object value) throws IOException {
+        if (value instanceof String text) {
+            out.writeString(text);
+        } else if (value instanceof Long number) {
+            out.writeNumber(number);
+        } else if (value instanceof Integer number) {
+            out.writeNumber(number);
+        } else if (value instanceof Double number) {
+            out.writeNumber(number);
+        } else if (value instanceof Boolean b) {
             out.writeBoolean(b);
-        } else if (v instanceof byte[] b) {
+        } else if (value instanceof byte[] b) {
             out.writeBinary(b);
-        } else if (v instanceof Enum<?> c) {
+        } else if (value instanceof Enum<?> c) {
             out.writeString(c.name());
-        } else if (v instanceof List<?> l) {
+        } else if (value instanceof List<?> list) {
             out.writeStartArray();
-            for (Object o : l) {
-                write(out, o);
+            for (Object item : list) {
+                write(out, item);
             }
             out.writeEndArray();
         } else {
             out.writeStartArray();
-            for (RecordComponent c : v.getClass().getRecordComponents()) {
+            for (RecordComponent c : value.getClass().getRecordComponents()) {
                 try {
-                    write(out, c.getAccessor().invoke(v));
+                    write(out, c.getAccessor().invoke(value));
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
                 }
@@ -187,7 +187,7 @@
 
     private static Object read(JsonParser in, Type type) throws IOException {
         if (type == String.class) {
-            need(in.currentToken() == JsonToken.VALUE_STRING, "a string is missing");
+            require(in.currentToken() == JsonToken.VALUE_STRING, "a string is missing");
             return in.getText();
         } else if (type == long.class) {
             return in.getLongValue();
@@ -200,7 +200,7 @@
         } else if (type == byte[].class) {
             return in.getBinaryValue();
         }
-        need(
+        require(
                 type instanceof Class<?> c && c.isEnum() || in.currentToken() == JsonToken.START_ARRAY,
                 "a list is missing");
         if (type instanceof ParameterizedType list) {
@@ -219,18 +219,20 @@
             }
             throw new Unreadable("unknown " + kind.getSimpleName() + " " + in.getText(), null);
         }
-        RecordComponent[] parts = kind.getRecordComponents();
-        Object[] values = new Object[parts.length];
-        Class<?>[] types = new Class<?>[parts.length];
-        for (int i = 0; i < parts.length; i++) {
-            need(in.nextToken() != JsonToken.END_ARRAY, kind.getSimpleName() + " lacks " + parts[i].getName());
-            types[i] = parts[i].getType();
-            values[i] = read(in, parts[i].getGenericType());
+        RecordComponent[] components = kind.getRecordComponents();
+        Object[] values = new Object[components.length];
+        Class<?>[] types = new Class<?>[components.length];
+        for (int i = 0; i < components.length; i++) {
+            require(in.nextToken() != JsonToken.END_ARRAY, kind.getSimpleName() + " lacks " + components[i].getName());
+            types[i] = components[i].getType();
+            values[i] = read(in, components[i].getGenericType());
         }
-        need(in.nextToken() == JsonToken.END_ARRAY, kind.getSimpleName() + " has more than " + parts.length + " parts");
+        require(
+                in.nextToken() == JsonToken.END_ARRAY,
+                kind.getSimpleName() + " has more than " + components.length + " parts");
         try {
-            Constructor<?> made = kind.getDeclaredConstructor(types);
-            return made.newInstance(values);
+            Constructor<?> constructor = kind.getDeclaredConstructor(types);
+            return constructor.newInstance(values);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/plumpost/fleet/Member.java
+++ b/src/main/java/plumpost/fleet/Member.java
@@ -25,11 +25,11 @@
  * the same to it. It acts only while a leader has heard it within its lease; whether an act counts is decided by the log.
  */
 public final class Member implements Fleet, FleetLog.Ear {
-    private static final double STEP_MS = 50;
+    private static final double TICK_MS = 50;
     /** An equal entry is proposed again, and a wish is answered as not known, no sooner than this. */
-    private static final double AGAIN_MS = 1000;
+    private static final double REPROPOSE_MS = 1000;
 
-    private static final double LEAVE_MS = 400;
+    private static final double LEAVE_TIMEOUT_MS = 400;
 
     private final PeersConfig config;
     private final Host host;
@@ -37,74 +37,74 @@
     private final UnixTime unixTime;
     private final TimerWheel wheel;
     private final Counters counters;
-    private final Consumer<String> say;
-    private final FleetBook view = new FleetBook();
-    private final Life life;
+    private final Consumer<String> logger;
+    private final FleetBook state = new FleetBook();
+    private final SessionRunner sessionRunner;
     private final ScheduleRunner schedule;
     private final DiscoveryRunner discovery;
     /** Null where the file covers nothing. */
     private final OrderRunner orders;
 
     private FleetLog log;
-    private final Map<Object, Double> asked = new HashMap<>();
-    private boolean dirty;
+    private final Map<Object, Double> lastProposedMs = new HashMap<>();
+    private boolean pollScheduled;
     private boolean halted;
     private boolean stopping;
     private boolean started;
     private boolean leaving;
-    private double leaveBy;
-    private boolean left;
+    private double leaveDeadlineMs;
+    private boolean closed;
     private boolean hadLease;
-    private long syncs;
+    private long countedSyncs;
 
     /**
      * A member that has not begun.
      *
      * @param nonce drawn anew for each process
-     * @param disk its data directory's identity
-     * @param asks whether it can ask discovery
+     * @param directoryId its data directory's identity
+     * @param asksDiscovery whether it can ask discovery
      */
     public Member(
             PeersConfig config,
             String nonce,
-            String disk,
-            boolean asks,
+            String directoryId,
+            boolean asksDiscovery,
             Host host,
             Clock clock,
             UnixTime unixTime,
             TimerWheel wheel,
             Counters counters,
-            Consumer<String> say) {
+            Consumer<String> logger) {
         this.config = config;
         this.host = host;
         this.clock = clock;
         this.unixTime = unixTime;
         this.wheel = wheel;
         this.counters = counters;
-        this.say = say;
+        this.logger = logger;
         List<Offer> offers = new ArrayList<>(List.of(new Offer(FleetBook.SCHEDULE, "")));
-        if (asks) {
+        if (asksDiscovery) {
             offers.add(new Offer(
                     FleetBook.DISCOVERY + config.self().site(), config.self().site()));
         }
         if (!config.covered().classes().isEmpty()) {
             offers.add(new Offer(FleetBook.LEDGER, ""));
         }
-        life = new Life(this, host, config, nonce, disk, offers);
+        sessionRunner = new SessionRunner(this, host, config, nonce, directoryId, offers);
         schedule = new ScheduleRunner(this, host);
         orders = config.covered().classes().isEmpty() ? null : new OrderRunner(this, host, config.covered());
         discovery = new DiscoveryRunner(
-                this, host, asks ? FleetBook.DISCOVERY + config.self().site() : null, config.discoveryAgeMs());
+                this, host, asksDiscovery ? FleetBook.DISCOVERY + config.self().site() : null, config.discoveryAgeMs());
     }
 
     /** The log that it takes part in; given before {@link #begin}. */
-    public void on(FleetLog to) {
-        log = to;
+    public void on(FleetLog newLog) {
+        log = newLog;
     }
 
     @Override
     public void begin() {
-        step();
+        tick();
     }
 
     // ---- what the runners use ----
@@ -119,8 +119,8 @@
         return unixTime.nowMs();
     }
 
-    FleetBook view() {
-        return view;
+    FleetBook state() {
+        return state;
     }
 
     String name() {
@@ -128,17 +128,17 @@
     }
 
     long incarnation() {
-        return life.incarnation();
+        return sessionRunner.incarnation();
     }
 
     /** Whether this process may act for the fleet now: asked anew before every deed, since it may have been stopped. */
     boolean mayAct() {
-        return lives() && !stopping;
+        return sessionActive() && !stopping;
     }
 
     /** Whether its life goes on as far as it knows: what it has begun it may hand out and record, leaving or not. */
-    boolean lives() {
-        return life.holds(nowMs()) && !halted;
+    boolean sessionActive() {
+        return sessionRunner.holdsLease(nowMs()) && !halted;
     }
 
     boolean stopping() {
@@ -146,27 +146,29 @@
     }
 
     /** The fence under which a duty is this life's, or 0. */
-    long fence(String duty) {
-        Duty d = view.duties().of(duty);
-        return d != null && mayAct() && d.owner().equals(name()) && d.incarnation() == incarnation() ? d.fence() : 0;
+    long fence(String dutyName) {
+        Duty duty = state.duties().find(dutyName);
+        return duty != null && mayAct() && duty.owner().equals(name()) && duty.incarnation() == incarnation()
+                ? duty.fence()
+                : 0;
     }
 
     /**
      * Proposes an entry unless the same was proposed within the last second; says whether it did. An answer does not
      * change that: it may come before the copy of the book here has caught up with it.
      */
-    boolean once(Object mark, Entry e, Consumer<Outcome> then) {
-        Double before = asked.get(mark);
-        if (before != null && nowMs() - before < AGAIN_MS) {
+    boolean proposeOnce(Object key, Entry entry, Consumer<Outcome> callback) {
+        Double previousMs = lastProposedMs.get(key);
+        if (previousMs != null && nowMs() - previousMs < REPROPOSE_MS) {
             return false;
         }
-        double at = nowMs();
-        asked.put(mark, at);
-        log.propose(e, o -> {
-            if (o == null) {
-                asked.remove(mark, at);
+        double proposedMs = nowMs();
+        lastProposedMs.put(key, proposedMs);
+        log.propose(entry, outcome -> {
+            if (outcome == null) {
+                lastProposedMs.remove(key, proposedMs);
             }
-            then.accept(o);
+            callback.accept(outcome);
         });
         return true;
     }
@@ -175,77 +177,77 @@
         counters.count("fleet." + name);
     }
 
-    void say(String words) {
-        say.accept("fleet: " + words);
+    void logLine(String message) {
+        logger.accept("fleet: " + message);
     }
 
-    void later(double ms, Runnable what) {
-        wheel.at(nowMs() + ms, what);
+    void runAfter(double delayMs, Runnable task) {
+        wheel.at(nowMs() + delayMs, task);
     }
 
     // ---- its life ----
 
-    private void step() {
-        if (left) {
+    private void tick() {
+        if (closed) {
             return;
         }
-        later(STEP_MS, this::step);
+        runAfter(TICK_MS, this::tick);
         if (halted || log == null) {
             return;
         }
-        double now = nowMs();
-        life.step(now);
-        if (asked.size() > 1000) {
-            asked.values().removeIf(at -> now - at >= AGAIN_MS);
+        double nowMs = nowMs();
+        sessionRunner.tick(nowMs);
+        if (lastProposedMs.size() > 1000) {
+            lastProposedMs.values().removeIf(proposedMs -> nowMs - proposedMs >= REPROPOSE_MS);
         }
-        for (long done = log.syncs(); syncs < done; syncs++) {
+        for (long totalSyncs = log.syncs(); countedSyncs < totalSyncs; countedSyncs++) {
             count("synced");
         }
-        boolean lease = mayAct();
-        if (hadLease && !lease && !stopping) {
+        boolean hasLease = mayAct();
+        if (hadLease && !hasLease && !stopping) {
             count("lease_ended");
-            say.accept("fleet: no leader has heard this scheduler for " + Math.round(config.lostMs() * 2 / 3)
+            logger.accept("fleet: no leader has heard this scheduler for " + Math.round(config.lostMs() * 2 / 3)
                     + " ms: it does no fleet duty and serves on by itself");
         }
-        if (lease && !hadLease) {
-            say("heard by the leader, incarnation " + incarnation() + " takes part");
+        if (hasLease && !hadLease) {
+            logLine("heard by the leader, incarnation " + incarnation() + " takes part");
         }
-        hadLease = lease;
+        hadLease = hasLease;
         if (stopping) {
-            last();
+            finishLeaving();
         }
-        if (lease) {
-            life.serves(now);
+        if (hasLease) {
+            sessionRunner.reportFunctions(nowMs);
         }
-        if (lease && log.behindMs() > config.lostMs() * 2 / 3) {
-            passOn();
+        if (hasLease && log.behindMs() > config.lostMs() * 2 / 3) {
+            yieldDuties();
         }
-        look();
+        poll();
     }
 
     /** Its copy of the book is late, for instance since its disk is slow: its duties are done sooner by another. */
-    private void passOn() {
-        for (Duty d : view.duties().all()) {
-            long fence = fence(d.name());
+    private void yieldDuties() {
+        for (Duty duty : state.duties().all()) {
+            long fence = fence(duty.name());
             if (fence > 0) {
-                once(
-                        "late " + d.name(),
-                        new Entry.Yield(d.name(), fence),
-                        o -> say("has been behind the log for " + Math.round(log.behindMs()) + " ms: passes " + d.name()
-                                + " on"));
+                proposeOnce(
+                        "late " + duty.name(),
+                        new Entry.Yield(duty.name(), fence),
+                        outcome -> logLine("has been behind the log for " + Math.round(log.behindMs()) + " ms: passes "
+                                + duty.name() + " on"));
             }
         }
     }
 
     /** Its life is over: nothing more is done in its name, and what nobody has seen of its work is called back. */
-    void over(String why) {
+    void sessionEnded(String reason) {
         count("lost");
-        say.accept("fleet: incarnation " + incarnation() + " is over: " + why);
-        life.end();
-        asked.clear();
-        schedule.forget();
+        logger.accept("fleet: incarnation " + incarnation() + " is over: " + reason);
+        sessionRunner.reset();
+        lastProposedMs.clear();
+        schedule.sessionEnded();
         if (orders != null) {
-            orders.forget();
+            orders.sessionEnded();
         }
     }
 
@@ -257,103 +259,107 @@
     // ---- the log's words ----
 
     @Override
-    public void applied(Entry e, long term) {
-        List<News> news = new ArrayList<>();
-        view.apply(e, term, news);
-        news.forEach(this::news);
-        if (!dirty) {
-            dirty = true;
-            later(
+    public void applied(Entry entry, long term) {
+        List<News> events = new ArrayList<>();
+        state.apply(entry, term, events);
+        events.forEach(this::onEvent);
+        if (!pollScheduled) {
+            pollScheduled = true;
+            runAfter(
                     0,
                     () -> { // what came together is looked at once
-                        dirty = false;
-                        look();
+                        pollScheduled = false;
+                        poll();
                     });
         }
     }
 
     @Override
-    public void restored(FleetBook.Image image) {
-        Set<String> before = new HashSet<>(view.bans());
-        view.restore(image);
+    public void restored(FleetBook.Image snapshot) {
+        Set<String> previousBans = new HashSet<>(state.bans());
+        state.restore(snapshot);
         count("restored");
         schedule.rebuild();
         if (orders != null) {
             orders.rebuild();
         }
-        for (String node : view.bans()) {
-            if (!before.remove(node)) {
+        for (String node : state.bans()) {
+            if (!previousBans.remove(node)) {
                 host.banned(node, true);
             }
         }
-        before.forEach(node -> host.banned(node, false));
+        previousBans.forEach(node -> host.banned(node, false));
         discovery.restored();
-        look();
+        poll();
     }
 
     @Override
-    public void halted(String why) {
+    public void halted(String reason) {
         if (!halted) {
             halted = true;
             count("halted");
-            say.accept("fleet: this scheduler takes part no longer and serves on by itself: " + why);
-            discovery.look();
+            logger.accept("fleet: this scheduler takes part no longer and serves on by itself: " + reason);
+            discovery.poll();
         }
     }
 
-    private void news(News n) {
-        if (n instanceof News.Planned p) {
-            schedule.changed(p.job());
-        } else if (n instanceof News.Ordered o) {
+    private void onEvent(News event) {
+        if (event instanceof News.JobChanged jobEvent) {
+            schedule.changed(jobEvent.job());
+        } else if (event instanceof News.OrderChanged orderEvent) {
             if (orders != null) {
-                orders.changed(o.now(), o.former());
+                orders.changed(orderEvent.current(), orderEvent.previous());
             }
-        } else if (n instanceof News.Banned b) {
-            host.banned(b.node(), b.out());
-        } else if (n instanceof News.Told t) {
-            discovery.told(t.word());
-        } else if (n instanceof News.Owned o) {
-            if (o.duty().owner().equals(name()) || o.former().equals(name())) {
+        } else if (event instanceof News.BanChanged banEvent) {
+            host.banned(banEvent.node(), banEvent.banned());
+        } else if (event instanceof News.DiscoveryReported discoveryEvent) {
+            discovery.onReportApplied(discoveryEvent.report());
+        } else if (event instanceof News.OwnerChanged ownerEvent) {
+            if (ownerEvent.duty().owner().equals(name())
+                    || ownerEvent.previousOwner().equals(name())) {
                 count("owner_changed");
-                say.accept(
-                        "fleet: " + o.duty().name() + " under fence " + o.duty().fence() + " is "
-                                + (o.duty().owner().isEmpty()
-                                        ? "nobody's"
-                                        : o.duty().owner() + "'s, incarnation "
-                                                + o.duty().incarnation())
-                                + (o.former().isEmpty() ? "" : ", was " + o.former() + "'s"));
+                logger.accept("fleet: " + ownerEvent.duty().name() + " under fence "
+                        + ownerEvent.duty().fence() + " is "
+                        + (ownerEvent.duty().owner().isEmpty()
+                                ? "nobody's"
+                                : ownerEvent.duty().owner() + "'s, incarnation "
+                                        + ownerEvent.duty().incarnation())
+                        + (ownerEvent.previousOwner().isEmpty() ? "" : ", was " + ownerEvent.previousOwner() + "'s"));
             }
-        } else if (n instanceof News.Refused r) {
-            count("refused." + r.entry().getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
-            if (r.why().startsWith("fence ")) {
-                say("refused " + r.entry().getClass().getSimpleName() + ": " + r.why());
+        } else if (event instanceof News.EntryRefused refusal) {
+            count("refused." + refusal.entry().getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
+            if (refusal.reason().startsWith("fence ")) {
+                logLine("refused " + refusal.entry().getClass().getSimpleName() + ": " + refusal.reason());
             }
-        } else if (n instanceof News.Changed c && c.former() != null && c.now().state() == Sessions.State.LOST) {
+        } else if (event instanceof News.SessionChanged sessionEvent
+                && sessionEvent.previous() != null
+                && sessionEvent.current().state() == Sessions.State.LOST) {
             count("session_lost");
-            say.accept("fleet: " + c.now().name() + ", incarnation " + c.now().incarnation() + ", is lost");
+            logger.accept("fleet: " + sessionEvent.current().name() + ", incarnation "
+                    + sessionEvent.current().incarnation() + ", is lost");
         }
     }
 
-    private void look() {
-        if (halted || left) {
+    private void poll() {
+        if (halted || closed) {
             return;
         }
-        Session s = view.sessions().of(name());
+        Session session = state.sessions().of(name());
         if (incarnation() > 0
-                && s != null
-                && s.incarnation() >= incarnation()
+                && session != null
+                && session.incarnation() >= incarnation()
                 && !leaving
-                && !(s.incarnation() == incarnation() && s.live())) {
-            over("the log says " + s.state().name().toLowerCase(java.util.Locale.ROOT));
-            if (s.state() == Sessions.State.REMOVED) {
+                && !(session.incarnation() == incarnation() && session.live())) {
+            sessionEnded("the log says " + session.state().name().toLowerCase(java.util.Locale.ROOT));
+            if (session.state() == Sessions.State.REMOVED) {
                 halted("it was removed from the fleet by command");
             }
         }
-        schedule.look();
+        schedule.poll();
         if (orders != null) {
-            orders.look();
+            orders.poll();
         }
-        discovery.look();
+        discovery.poll();
     }
 
     // ---- Fleet ----
@@ -364,71 +370,75 @@
     }
 
     /** Proposes what somebody waits for the answer of; it is told in time, or that it is not known. */
-    void wish(Entry e, Consumer<Said> then) {
+    void request(Entry entry, Consumer<Said> callback) {
         if (halted || log == null) {
-            then.accept(new Said(false, false, "this scheduler takes part in the fleet no longer"));
+            callback.accept(new Said(false, false, "this scheduler takes part in the fleet no longer"));
             return;
         }
-        boolean[] over = new boolean[1];
-        wheel.at(nowMs() + AGAIN_MS * 0.8, () -> {
-            if (!over[0]) {
-                over[0] = true;
+        boolean[] answered = new boolean[1];
+        wheel.at(nowMs() + REPROPOSE_MS * 0.8, () -> {
+            if (!answered[0]) {
+                answered[0] = true;
                 count("wish_unknown");
-                then.accept(new Said(
+                callback.accept(new Said(
                         false,
                         false,
                         "the fleet has not agreed in time; try again after " + Math.round(config.lostMs()) + " ms"));
             }
         });
-        log.propose(e, o -> {
-            if (!over[0] && o != null) {
-                over[0] = true;
-                then.accept(new Said(o.done(), true, o.words()));
+        log.propose(entry, outcome -> {
+            if (!answered[0] && outcome != null) {
+                answered[0] = true;
+                callback.accept(new Said(outcome.done(), true, outcome.words()));
             }
         });
     }
 
     @Override
-    public void ban(String node, boolean out, Consumer<Said> then) {
-        wish(new Entry.Ban(node, out), then);
+    public void ban(String node, boolean out, Consumer<Said> callback) {
+        request(new Entry.Ban(node, out), callback);
     }
 
     @Override
-    public void plan(Job j, Consumer<Said> then) {
-        wish(new Entry.Plan(j.id(), j.function(), j.unique(), j.body(), j.atMs(), j.again()), then);
+    public void plan(Job job, Consumer<Said> callback) {
+        request(
+                new Entry.Plan(job.id(), job.function(), job.unique(), job.body(), job.atMs(), job.repeatable()),
+                callback);
     }
 
     @Override
-    public void callOff(String id, Consumer<Said> then) {
-        wish(new Entry.CallOff(id), then);
+    public void callOff(String id, Consumer<Said> callback) {
+        request(new Entry.CallOff(id), callback);
     }
 
-    private static Job job(Plans.Job j) {
-        return j == null ? null : new Job(j.id(), j.function(), j.unique(), j.body(), j.atMs(), j.again());
+    private static Job job(Plans.Job job) {
+        return job == null
+                ? null
+                : new Job(job.id(), job.function(), job.unique(), job.body(), job.startMs(), job.repeatable());
     }
 
     @Override
     public Job planned(String id) {
-        return job(view.plans().of(id));
+        return job(state.plans().find(id));
     }
 
     @Override
     public List<String> plannedIds() {
-        return view.plans().all().stream()
-                .filter(j -> j.state() == Plans.State.WAITING)
+        return state.plans().all().stream()
+                .filter(job -> job.state() == Plans.State.WAITING)
                 .map(Plans.Job::id)
                 .toList();
     }
 
     @Override
     public Job planned(String function, String unique) {
-        return job(view.plans().under(function, unique));
+        return job(state.plans().findByKey(function, unique));
     }
 
     @Override
     public boolean fired(String id) {
-        Plans.Job j = view.plans().of(id);
-        return j != null && j.state() != Plans.State.WAITING;
+        Plans.Job job = state.plans().find(id);
+        return job != null && job.state() != Plans.State.WAITING;
     }
 
     @Override
@@ -448,7 +458,7 @@
 
     @Override
     public void heard(String line, long seq, boolean whole) {
-        discovery.heard(line, seq, whole);
+        discovery.onDiscoveryLine(line, seq, whole);
     }
 
     @Override
@@ -457,22 +467,23 @@
             return;
         }
         stopping = true;
-        leaveBy = nowMs() + LEAVE_MS;
+        leaveDeadlineMs = nowMs() + LEAVE_TIMEOUT_MS;
         if (incarnation() == 0 || halted || log == null) {
             leave();
         } else {
-            log.propose(new Entry.Leave(name(), incarnation(), false), o -> {}); // others have its duties from now on
+            log.propose(
+                    new Entry.Leave(name(), incarnation(), false), outcome -> {}); // others have its duties from now on
         }
     }
 
     /** What it had is finished or has come back: now it is gone. Where that cannot be agreed on it goes all the same. */
-    private void last() {
-        if (schedule.done() && (orders == null || orders.done()) && !leaving && incarnation() > 0) {
+    private void finishLeaving() {
+        if (schedule.finished() && (orders == null || orders.finished()) && !leaving && incarnation() > 0) {
             leaving = true;
-            leaveBy = nowMs() + LEAVE_MS;
-            log.propose(new Entry.Leave(name(), incarnation(), true), o -> leave());
+            leaveDeadlineMs = nowMs() + LEAVE_TIMEOUT_MS;
+            log.propose(new Entry.Leave(name(), incarnation(), true), outcome -> leave());
         }
-        if (incarnation() == 0 || leaving && nowMs() > leaveBy) {
+        if (incarnation() == 0 || leaving && nowMs() > leaveDeadlineMs) {
             leave();
         }
     }
@@ -480,14 +491,14 @@
     /** The scheduler has no open job any more: what is still to be told is told now or not at all. */
     @Override
     public void idle() {
-        if (stopping && !leaving && nowMs() > leaveBy) {
+        if (stopping && !leaving && nowMs() > leaveDeadlineMs) {
             leave();
         }
     }
 
     private void leave() {
-        if (!left) {
-            left = true;
+        if (!closed) {
+            closed = true;
             if (log != null) {
                 log.close();
             }
@@ -496,6 +507,6 @@
 
     @Override
     public boolean quiet() {
-        return left;
+        return closed;
     }
 }
--- a/src/main/java/plumpost/fleet/OrderRunner.java
+++ b/src/main/java/plumpost/fleet/OrderRunner.java
@@ -15,7 +15,7 @@
 import plumpost.config.PeersConfig;
 import plumpost.durable.OrderLife.Event;
 import plumpost.durable.OrderLife.State;
-import plumpost.fleet.Entry.By;
+import plumpost.fleet.Entry.SessionId;
 import plumpost.fleet.Sessions.Session;
 import plumpost.peers.Fleet;
 import plumpost.peers.Host;
@@ -28,37 +28,37 @@
  */
 final class OrderRunner implements Ledger {
     /** Orders claimed at once, and settled at once. */
-    private static final int MOST_CLAIMED = 64;
+    private static final int MAX_CLAIMED = 64;
 
-    private static final int MOST_SETTLED = 256;
+    private static final int MAX_SETTLED = 256;
     /** What this scheduler has released it does not claim again for so long. */
-    private static final double PAUSE_MS = 1000;
+    private static final double CLAIM_PAUSE_MS = 1000;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_RESULT = new byte[0];
 
     /** What is to be said of an order until the log shows it. */
-    private record Saying(Event event, int lease, byte[] result) {}
+    private record PendingReport(Event event, int lease, byte[] result) {}
 
     private final Member member;
     private final Host host;
     private final PeersConfig.Covered covered;
     private Holder holder;
-    private final Map<String, Orders.Order> mine = new LinkedHashMap<>();
-    private final Set<String> toHold = new LinkedHashSet<>();
+    private final Map<String, Orders.Order> ownOrders = new LinkedHashMap<>();
+    private final Set<String> pendingHolds = new LinkedHashSet<>();
     private final Set<String> held = new HashSet<>();
-    private final TreeMap<Integer, Set<String>> free = new TreeMap<>(Comparator.reverseOrder());
-    private final Map<String, Consumer<Boolean>> asked = new LinkedHashMap<>();
+    private final TreeMap<Integer, Set<String>> freeByPriority = new TreeMap<>(Comparator.reverseOrder());
+    private final Map<String, Consumer<Boolean>> leaseRequests = new LinkedHashMap<>();
     /** Leases under which orders are out from here, over the ends of lives. */
-    private final Map<String, Integer> rights = new HashMap<>();
+    private final Map<String, Integer> grantedLeases = new HashMap<>();
 
-    private final Map<String, Saying> words = new LinkedHashMap<>();
-    private double strayAt;
-    private boolean looking;
-    private boolean again;
-    private final Set<String> releases = new LinkedHashSet<>();
-    private final Map<String, Double> paused = new HashMap<>();
-    private final Map<String, Double> awaited = new LinkedHashMap<>();
-    private final Map<String, Double> ended = new LinkedHashMap<>();
+    private final Map<String, PendingReport> pendingReports = new LinkedHashMap<>();
+    private double nextStrayCheckMs;
+    private boolean polling;
+    private boolean pollAgain;
+    private final Set<String> pendingReleases = new LinkedHashSet<>();
+    private final Map<String, Double> claimPausedUntil = new HashMap<>();
+    private final Map<String, Double> awaitedSince = new LinkedHashMap<>();
+    private final Map<String, Double> endedSince = new LinkedHashMap<>();
 
     OrderRunner(Member member, Host host, PeersConfig.Covered covered) {
         this.member = member;
@@ -70,73 +70,88 @@
 
     /** Builds what it keeps anew from the view. */
     void rebuild() {
-        mine.clear();
-        toHold.clear();
-        free.clear();
-        awaited.clear();
-        ended.clear();
-        member.view().orders().all().forEach(o -> changed(o, null));
+        ownOrders.clear();
+        pendingHolds.clear();
+        freeByPriority.clear();
+        awaitedSince.clear();
+        endedSince.clear();
+        member.state().orders().all().forEach(order -> changed(order, null));
     }
 
     /** An order stands so now. */
-    void changed(Orders.Order now, Orders.Order former) {
-        String id = now.id();
-        boolean known = member.view().orders().of(id) != null;
-        boolean over = now.state().ended();
-        boolean own = known && !over && now.state() != State.AWAITED && own(now);
+    void changed(Orders.Order current, Orders.Order previous) {
+        String id = current.id();
+        boolean known = member.state().orders().find(id) != null;
+        boolean over = current.state().ended();
+        boolean own = known && !over && current.state() != State.AWAITED && isOwn(current);
         if (own) {
-            mine.put(id, now);
+            ownOrders.put(id, current);
         } else {
-            mine.remove(id);
-        }
-        mark(toHold, id, own && now.state() == State.TAKEN && !held.contains(id) && !releases.contains(id));
-        mark(free.computeIfAbsent(now.priority(), p -> new LinkedHashSet<>()), id, known && Orders.free(now));
-        time(awaited, id, known && now.state() == State.AWAITED);
-        time(ended, id, known && over);
+            ownOrders.remove(id);
+        }
+        setContains(
+                pendingHolds,
+                id,
+                own && current.state() == State.TAKEN && !held.contains(id) && !pendingReleases.contains(id));
+        setContains(
+                freeByPriority.computeIfAbsent(current.priority(), p -> new LinkedHashSet<>()),
+                id,
+                known && Orders.isFree(current));
+        setSince(awaitedSince, id, known && current.state() == State.AWAITED);
+        setSince(endedSince, id, known && over);
         if (!own) {
-            releases.remove(id);
+            pendingReleases.remove(id);
         }
-        Saying w = words.get(id);
-        if (w != null && w.event == Event.DONE && w.lease == 0 && now.lease() > 0) {
-            w = new Saying(w.event, now.lease(), w.result); // it was heard before the copy here knew of its lease
-            words.put(id, w);
+        PendingReport report = pendingReports.get(id);
+        if (report != null && report.event == Event.DONE && report.lease == 0 && current.lease() > 0) {
+            report = new PendingReport(
+                    report.event,
+                    current.lease(),
+                    report.result); // it was heard before the copy here knew of its lease
+            pendingReports.put(id, report);
         }
-        if (w != null
+        if (report != null
                 && (!known
-                        || over && !(now.state() == State.UNKNOWN && w.event != Event.STALL)
-                        || (w.event == Event.GIVE_UP
+                        || over && !(current.state() == State.UNKNOWN && report.event != Event.STALL)
+                        || (report.event == Event.GIVE_UP
                                 ? !own
-                                : w.lease > 0 && (now.lease() > w.lease || now.state() == State.TAKEN)))) {
-            words.remove(id);
-        }
-        if (!known || over || now.state() == State.TAKEN || now.lease() != rights.getOrDefault(id, now.lease())) {
-            rights.remove(id);
-        }
-        boolean granted = own && now.state() == State.LEASED && former != null && former.state() == State.TAKEN;
-        Consumer<Boolean> then = granted || !own ? asked.remove(id) : null;
+                                : report.lease > 0
+                                        && (current.lease() > report.lease || current.state() == State.TAKEN)))) {
+            pendingReports.remove(id);
+        }
+        if (!known
+                || over
+                || current.state() == State.TAKEN
+                || current.lease() != grantedLeases.getOrDefault(id, current.lease())) {
+            grantedLeases.remove(id);
+        }
+        boolean granted = own && current.state() == State.LEASED && previous != null && previous.state() == State.TAKEN;
+        Consumer<Boolean> callback = granted || !own ? leaseRequests.remove(id) : null;
         if (granted) {
-            rights.put(id, now.lease());
-            if (then == null) {
-                told(id, Word.HANDED_BACK, NOTHING); // it was not wanted any more, and nobody has used it
+            grantedLeases.put(id, current.lease());
+            if (callback == null) {
+                told(id, Word.HANDED_BACK, EMPTY_RESULT); // it was not wanted any more, and nobody has used it
             }
         }
-        if (then != null) {
-            then.accept(granted);
+        if (callback != null) {
+            callback.accept(granted);
         }
-        if (held.contains(id) && !own && !rights.containsKey(id)) {
+        if (held.contains(id) && !own && !grantedLeases.containsKey(id)) {
             held.remove(id);
             holder.drop(id);
         }
-        if (over && holder != null && (former == null || !former.state().ended())) {
-            holder.ended(known(now, known));
+        if (over && holder != null && (previous == null || !previous.state().ended())) {
+            holder.ended(known(current, known));
         }
     }
 
-    private boolean own(Orders.Order o) {
-        return o.holder().equals(member.name()) && o.incarnation() == member.incarnation() && member.incarnation() > 0;
+    private boolean isOwn(Orders.Order order) {
+        return order.holder().equals(member.name())
+                && order.incarnation() == member.incarnation()
+                && member.incarnation() > 0;
     }
 
-    private static void mark(Set<String> set, String id, boolean in) {
+    private static void setContains(Set<String> set, String id, boolean in) {
         if (in) {
             set.add(id);
         } else {
@@ -144,7 +159,7 @@
         }
     }
 
-    private void time(Map<String, Double> map, String id, boolean in) {
+    private void setSince(Map<String, Double> map, String id, boolean in) {
         if (in) {
             map.putIfAbsent(id, member.nowMs());
         } else {
@@ -153,194 +168,201 @@
     }
 
     /** Its life is over: what no worker has is called back; what is out is still heard, under its lease. */
-    void forget() {
-        mine.clear();
-        toHold.clear();
-        releases.clear();
-        List<Consumer<Boolean>> open = List.copyOf(asked.values());
-        asked.clear();
+    void sessionEnded() {
+        ownOrders.clear();
+        pendingHolds.clear();
+        pendingReleases.clear();
+        List<Consumer<Boolean>> open = List.copyOf(leaseRequests.values());
+        leaseRequests.clear();
         for (String id : List.copyOf(held)) {
-            if (!rights.containsKey(id)) {
+            if (!grantedLeases.containsKey(id)) {
                 held.remove(id);
                 holder.drop(id);
             }
         }
-        open.forEach(then -> then.accept(false));
+        open.forEach(callback -> callback.accept(false));
     }
 
     /** Whether nothing is left here that is out or is to be said. */
-    boolean done() {
-        return rights.isEmpty() && words.isEmpty();
+    boolean finished() {
+        return grantedLeases.isEmpty() && pendingReports.isEmpty();
     }
 
     // ---- what it does ----
 
     /** What is called meanwhile, as the core asks for a lease while it takes an order in, is looked at after it. */
-    void look() {
-        again = true;
-        if (looking || holder == null) {
+    void poll() {
+        pollAgain = true;
+        if (polling || holder == null) {
             return;
         }
-        looking = true;
+        polling = true;
         try {
-            while (again) {
-                again = false;
-                lookOnce();
+            while (pollAgain) {
+                pollAgain = false;
+                pollOnce();
             }
         } finally {
-            looking = false;
+            polling = false;
         }
     }
 
-    private void lookOnce() {
+    private void pollOnce() {
         if (member.fence(FleetBook.LEDGER) > 0) {
-            settle();
+            settleDue();
         }
-        By me = new By(member.name(), member.incarnation());
-        if (me.incarnation() > 0) {
-            words.entrySet().stream()
-                    .filter(e -> e.getValue().lease > 0 || e.getValue().event == Event.GIVE_UP)
+        SessionId self = new SessionId(member.name(), member.incarnation());
+        if (self.incarnation() > 0) {
+            pendingReports.entrySet().stream()
+                    .filter(entry -> entry.getValue().lease > 0 || entry.getValue().event == Event.GIVE_UP)
                     .toList()
-                    .forEach(e -> say(me, e.getKey(), e.getValue()));
+                    .forEach(entry -> proposeReport(self, entry.getKey(), entry.getValue()));
         }
         if (!member.mayAct()) {
             return;
         }
-        if (!releases.isEmpty()) {
-            List<String> some = releases.stream().limit(MOST_CLAIMED).toList();
-            member.once("release " + some.get(0), new Entry.Release(me, some), o -> {});
-        }
-        if (member.nowMs() >= strayAt) {
-            strayAt = member.nowMs() + PAUSE_MS;
-            strays();
-        }
-        hold();
-        asked.keySet().forEach(id -> {
-            Orders.Order o = mine.get(id);
-            if (o != null && o.state() == State.TAKEN && !words.containsKey(id)) {
-                member.once(
-                        "lease " + id + " " + o.lease(),
-                        new Entry.Told(me, id, Event.LEASE, o.lease(), NOTHING),
+        if (!pendingReleases.isEmpty()) {
+            List<String> batch = pendingReleases.stream().limit(MAX_CLAIMED).toList();
+            member.proposeOnce("release " + batch.get(0), new Entry.Release(self, batch), order -> {});
+        }
+        if (member.nowMs() >= nextStrayCheckMs) {
+            nextStrayCheckMs = member.nowMs() + CLAIM_PAUSE_MS;
+            releaseUnservable();
+        }
+        holdPending();
+        leaseRequests.keySet().forEach(id -> {
+            Orders.Order order = ownOrders.get(id);
+            if (order != null && order.state() == State.TAKEN && !pendingReports.containsKey(id)) {
+                member.proposeOnce(
+                        "lease " + id + " " + order.lease(),
+                        new Entry.Told(self, id, Event.LEASE, order.lease(), EMPTY_RESULT),
                         x -> {});
             }
         });
-        claim(me);
+        claimFree(self);
     }
 
-    private void say(By me, String id, Saying w) {
-        member.once("order " + id + w.event + w.lease, new Entry.Told(me, id, w.event, w.lease, w.result), o -> {
-            if (o != null && !o.done()) {
-                words.remove(id, w); // it counts no more: the order is over, or under another lease
-            }
-        });
+    private void proposeReport(SessionId self, String id, PendingReport report) {
+        member.proposeOnce(
+                "order " + id + report.event + report.lease,
+                new Entry.Told(self, id, report.event, report.lease, report.result),
+                outcome -> {
+                    if (outcome != null && !outcome.done()) {
+                        pendingReports.remove(
+                                id, report); // it counts no more: the order is over, or under another lease
+                    }
+                });
     }
 
     /** What it holds and has no workers for goes to those who have. */
-    private void strays() {
+    private void releaseUnservable() {
         Collection<String> functions = host.functions();
         Set<String> elsewhere = new HashSet<>();
-        member.view().sessions().all().stream()
-                .filter(s -> s.state() == Sessions.State.ALIVE && !s.name().equals(member.name()))
-                .forEach(s -> elsewhere.addAll(s.functions()));
-        int n = 0;
-        for (Orders.Order o : mine.values()) {
-            if (o.state() == State.TAKEN
-                    && !held.contains(o.id())
-                    && !words.containsKey(o.id())
-                    && !releases.contains(o.id())) {
-                toHold.add(o.id()); // what was given up here was refused by the log: it is still to be tried
+        member.state().sessions().all().stream()
+                .filter(session -> session.state() == Sessions.State.ALIVE
+                        && !session.name().equals(member.name()))
+                .forEach(session -> elsewhere.addAll(session.functions()));
+        int released = 0;
+        for (Orders.Order order : ownOrders.values()) {
+            if (order.state() == State.TAKEN
+                    && !held.contains(order.id())
+                    && !pendingReports.containsKey(order.id())
+                    && !pendingReleases.contains(order.id())) {
+                pendingHolds.add(order.id()); // what was given up here was refused by the log: it is still to be tried
             }
-            if (o.state() == State.TAKEN
-                    && !functions.contains(o.function())
-                    && elsewhere.contains(o.function())
-                    && !words.containsKey(o.id())
-                    && n++ < MOST_SETTLED) {
-                releases.add(o.id());
-                toHold.remove(o.id());
+            if (order.state() == State.TAKEN
+                    && !functions.contains(order.function())
+                    && elsewhere.contains(order.function())
+                    && !pendingReports.containsKey(order.id())
+                    && released++ < MAX_SETTLED) {
+                pendingReleases.add(order.id());
+                pendingHolds.remove(order.id());
             }
         }
     }
 
-    private void hold() {
-        for (String id : List.copyOf(toHold)) {
-            Orders.Order o = mine.get(id);
-            if (o == null || !toHold.remove(id)) {
+    private void holdPending() {
+        for (String id : List.copyOf(pendingHolds)) {
+            Orders.Order order = ownOrders.get(id);
+            if (order == null || !pendingHolds.remove(id)) {
                 continue;
             }
             held.add(id);
             if (!holder.hold(new Ledger.Order(
-                    o.id(),
-                    o.function(),
-                    o.unique(),
-                    o.body(),
-                    o.priority(),
-                    o.patienceMs(),
-                    o.again(),
-                    o.background()))) {
-                told(id, Word.RELEASED, NOTHING);
+                    order.id(),
+                    order.function(),
+                    order.unique(),
+                    order.body(),
+                    order.priority(),
+                    order.patienceMs(),
+                    order.repeatable(),
+                    order.background()))) {
+                told(id, Word.RELEASED, EMPTY_RESULT);
             }
         }
     }
 
     /** Takes over what nobody holds: each survivor with workers for it its part of the oldest and most urgent, by room. */
-    private void claim(By me) {
-        int room = Math.min(MOST_CLAIMED, holder.room());
-        if (room <= 0 || free.values().stream().allMatch(Set::isEmpty)) {
+    private void claimFree(SessionId self) {
+        int room = Math.min(MAX_CLAIMED, holder.room());
+        if (room <= 0 || freeByPriority.values().stream().allMatch(Set::isEmpty)) {
             return;
         }
-        double now = member.nowMs();
-        paused.values().removeIf(until -> until <= now);
+        double nowMs = member.nowMs();
+        claimPausedUntil.values().removeIf(until -> until <= nowMs);
         Collection<String> functions = host.functions();
-        Map<String, Integer> turn = new HashMap<>();
+        Map<String, Integer> positions = new HashMap<>();
         List<String> ids = new ArrayList<>();
-        for (Set<String> some : free.values()) {
-            for (String id : some) {
-                Orders.Order o = member.view().orders().of(id);
-                if (ids.size() >= room || !functions.contains(o.function()) || paused.containsKey(id)) {
+        for (Set<String> candidates : freeByPriority.values()) {
+            for (String id : candidates) {
+                Orders.Order order = member.state().orders().find(id);
+                if (ids.size() >= room || !functions.contains(order.function()) || claimPausedUntil.containsKey(id)) {
                     continue;
                 }
-                List<String> able = member.view().sessions().all().stream()
-                        .filter(s -> s.state() == Sessions.State.ALIVE
-                                && s.functions().contains(o.function()))
+                List<String> able = member.state().sessions().all().stream()
+                        .filter(session -> session.state() == Sessions.State.ALIVE
+                                && session.functions().contains(order.function()))
                         .map(Session::name)
                         .toList();
-                int at = turn.merge(o.function(), 1, Integer::sum) - 1;
-                if (!able.isEmpty() && able.get(at % able.size()).equals(member.name())) {
+                int position = positions.merge(order.function(), 1, Integer::sum) - 1;
+                if (!able.isEmpty() && able.get(position % able.size()).equals(member.name())) {
                     ids.add(id);
                 }
-                if (at > MOST_CLAIMED * (able.size() + 1)) {
+                if (position > MAX_CLAIMED * (able.size() + 1)) {
                     break;
                 }
             }
         }
-        if (!ids.isEmpty() && member.once("claim " + ids.get(0), new Entry.Claim(me, ids), o -> {})) {
+        if (!ids.isEmpty() && member.proposeOnce("claim " + ids.get(0), new Entry.Claim(self, ids), order -> {})) {
             member.count("orders_claimed");
-            member.say("takes over up to " + ids.size() + " orders that nobody holds, from " + ids.get(0) + " on");
+            member.logLine("takes over up to " + ids.size() + " orders that nobody holds, from " + ids.get(0) + " on");
         }
     }
 
-    private void settle() {
-        List<String> given = due(awaited, covered.awaitMs());
-        List<String> forgotten = due(ended, covered.keepMs());
-        if (!given.isEmpty() || !forgotten.isEmpty()) {
-            String mark = "settle " + (given.isEmpty() ? forgotten.get(0) : given.get(0));
-            if (member.once(mark, new Entry.Settle(member.fence(FleetBook.LEDGER), given, forgotten), o -> {})
-                    && !given.isEmpty()) {
-                member.say("gives up " + given.size() + " orders whose worker was not heard for "
-                        + Math.round(covered.awaitMs()) + " ms: " + given.get(0) + (given.size() > 1 ? ", ..." : ""));
+    private void settleDue() {
+        List<String> givenUp = due(awaitedSince, covered.awaitMs());
+        List<String> forgotten = due(endedSince, covered.keepMs());
+        if (!givenUp.isEmpty() || !forgotten.isEmpty()) {
+            String key = "settle " + (givenUp.isEmpty() ? forgotten.get(0) : givenUp.get(0));
+            if (member.proposeOnce(
+                            key, new Entry.Settle(member.fence(FleetBook.LEDGER), givenUp, forgotten), order -> {})
+                    && !givenUp.isEmpty()) {
+                member.logLine("gives up " + givenUp.size() + " orders whose worker was not heard for "
+                        + Math.round(covered.awaitMs()) + " ms: " + givenUp.get(0)
+                        + (givenUp.size() > 1 ? ", ..." : ""));
             }
         }
     }
 
-    private List<String> due(Map<String, Double> since, double ms) {
-        List<String> all = new ArrayList<>();
-        for (Map.Entry<String, Double> e : since.entrySet()) {
-            if (e.getValue() + ms > member.nowMs() || all.size() >= MOST_SETTLED) {
+    private List<String> due(Map<String, Double> since, double ageMs) {
+        List<String> ids = new ArrayList<>();
+        for (Map.Entry<String, Double> entry : since.entrySet()) {
+            if (entry.getValue() + ageMs > member.nowMs() || ids.size() >= MAX_SETTLED) {
                 break; // in the order in which they came
             }
-            all.add(e.getKey());
+            ids.add(entry.getKey());
         }
-        return all;
+        return ids;
     }
 
     // ---- Ledger ----
@@ -356,107 +378,107 @@
     }
 
     @Override
-    public void take(Ledger.Order o, Consumer<Fleet.Said> then) {
+    public void take(Ledger.Order order, Consumer<Fleet.Said> callback) {
         if (!member.mayAct()) {
-            then.accept(new Fleet.Said(
+            callback.accept(new Fleet.Said(
                     false,
                     false,
                     member.stopping()
                             ? "this scheduler ends"
-                            : "no majority of the fleet hears this scheduler; try again after " + Math.round(PAUSE_MS)
-                                    + " ms"));
+                            : "no majority of the fleet hears this scheduler; try again after "
+                                    + Math.round(CLAIM_PAUSE_MS) + " ms"));
             return;
         }
-        member.wish(
+        member.request(
                 new Entry.Take(
-                        new By(member.name(), member.incarnation()),
-                        o.id(),
-                        o.function(),
-                        o.unique(),
-                        o.body(),
-                        o.priority(),
-                        o.patienceMs(),
-                        o.again(),
-                        o.background()),
-                then);
+                        new SessionId(member.name(), member.incarnation()),
+                        order.id(),
+                        order.function(),
+                        order.unique(),
+                        order.body(),
+                        order.priority(),
+                        order.patienceMs(),
+                        order.repeatable(),
+                        order.background()),
+                callback);
     }
 
-    private static Known known(Orders.Order o, boolean kept) {
+    private static Known known(Orders.Order order, boolean kept) {
         return new Known(
-                o.id(),
+                order.id(),
                 !kept
                         ? Stage.REFUSED
-                        : switch (o.state()) {
+                        : switch (order.state()) {
                             case TAKEN -> Stage.HELD;
                             case SERVED -> Stage.SERVED;
                             case FAILED -> Stage.FAILED;
                             case UNKNOWN -> Stage.UNKNOWN;
                             default -> Stage.OUT;
                         },
-                o.result());
+                order.result());
     }
 
     @Override
     public Known known(String id) {
-        Orders.Order o = member.view().orders().of(id);
-        return o == null ? null : known(o, true);
+        Orders.Order order = member.state().orders().find(id);
+        return order == null ? null : known(order, true);
     }
 
     @Override
     public Known known(String function, String unique) {
-        Orders.Order o = member.view().orders().under(function, unique);
-        return o == null ? null : known(o, true);
+        Orders.Order order = member.state().orders().findByKey(function, unique);
+        return order == null ? null : known(order, true);
     }
 
     @Override
-    public void lease(String id, Consumer<Boolean> then) {
-        if (!mine.containsKey(id)) {
-            then.accept(false);
+    public void lease(String id, Consumer<Boolean> callback) {
+        if (!ownOrders.containsKey(id)) {
+            callback.accept(false);
         } else {
-            asked.put(id, then);
-            look();
+            leaseRequests.put(id, callback);
+            poll();
         }
     }
 
     @Override
     public void tryAgain(String id) {
-        Integer lease = rights.get(id);
+        Integer lease = grantedLeases.get(id);
         if (lease != null) {
-            words.put(id, new Saying(Event.STALL, lease, NOTHING));
-            look();
+            pendingReports.put(id, new PendingReport(Event.STALL, lease, EMPTY_RESULT));
+            poll();
         }
     }
 
     @Override
-    public void told(String id, Word word, byte[] result) {
-        Orders.Order o = member.view().orders().of(id);
-        Integer lease = rights.get(id);
-        if (word != Word.HANDED_BACK) {
+    public void told(String id, Word report, byte[] result) {
+        Orders.Order order = member.state().orders().find(id);
+        Integer lease = grantedLeases.get(id);
+        if (report != Word.HANDED_BACK) {
             held.remove(id);
-            asked.remove(id);
+            leaseRequests.remove(id);
         }
-        if (o == null) {
+        if (order == null) {
             return;
         }
-        if (word == Word.RELEASED) {
-            toHold.remove(id);
-            releases.add(id);
-            paused.put(id, member.nowMs() + PAUSE_MS);
-        } else if (lease == null && (word == Word.STALLED || word == Word.GIVEN_UP || word == Word.FAILED)) {
-            words.put(id, new Saying(Event.GIVE_UP, 0, NOTHING));
-        } else if (lease != null || word == Word.DONE) { // a worker that reports elsewhere has the latest lease
-            words.put(
+        if (report == Word.RELEASED) {
+            pendingHolds.remove(id);
+            pendingReleases.add(id);
+            claimPausedUntil.put(id, member.nowMs() + CLAIM_PAUSE_MS);
+        } else if (lease == null && (report == Word.STALLED || report == Word.GIVEN_UP || report == Word.FAILED)) {
+            pendingReports.put(id, new PendingReport(Event.GIVE_UP, 0, EMPTY_RESULT));
+        } else if (lease != null || report == Word.DONE) { // a worker that reports elsewhere has the latest lease
+            pendingReports.put(
                     id,
-                    new Saying(
-                            switch (word) {
+                    new PendingReport(
+                            switch (report) {
                                 case HANDED_BACK -> Event.HANDED_BACK;
                                 case DONE -> Event.DONE;
                                 case FAILED -> Event.FAIL;
                                 default -> Event.STALL;
                             },
-                            lease != null ? lease : o.lease(),
+                            lease != null ? lease : order.lease(),
                             result));
         }
-        look();
+        poll();
     }
 }
--- a/src/main/java/plumpost/fleet/Orders.java
+++ b/src/main/java/plumpost/fleet/Orders.java
@@ -20,18 +20,18 @@
  */
 public final class Orders {
     /** Orders known at once, kept outcomes too, and bytes of bodies and results; one more is refused. */
-    static final int MOST = 100_000;
+    static final int MAX_ORDERS = 100_000;
 
-    static final long MOST_BYTES = 64L << 20;
+    static final long MAX_BYTES = 64L << 20;
     /** Attempts of a repeatable order, over all schedulers. */
-    static final int MOST_LEASES = 6;
+    static final int MAX_LEASES = 6;
 
     /**
      * An order.
      *
      * @param id the handle that its client was given
      * @param patienceMs for how long whoever holds it tries
-     * @param again whether it may run twice
+     * @param repeatable whether it may run twice
      * @param background whether nobody waits for its answer
      * @param holder who holds it, empty for nobody; {@code incarnation} is the life that does
      * @param lease the number of its latest lease, 0 before the first
@@ -44,14 +44,14 @@
             byte[] body,
             int priority,
             double patienceMs,
-            boolean again,
+            boolean repeatable,
             boolean background,
             State state,
             String holder,
             long incarnation,
             int lease,
             byte[] result) {
-        Order in(State next, int latest, byte[] made) {
+        Order withState(State next, int newLease, byte[] newResult) {
             return new Order(
                     id,
                     function,
@@ -59,16 +59,16 @@
                     body,
                     priority,
                     patienceMs,
-                    again,
+                    repeatable,
                     background,
                     next,
                     holder,
                     incarnation,
-                    latest,
-                    made);
+                    newLease,
+                    newResult);
         }
 
-        Order heldBy(String who, long life) {
+        Order withHolder(String newHolder, long newIncarnation) {
             return new Order(
                     id,
                     function,
@@ -76,17 +76,17 @@
                     body,
                     priority,
                     patienceMs,
-                    again,
+                    repeatable,
                     background,
                     state,
-                    who,
-                    life,
+                    newHolder,
+                    newIncarnation,
                     lease,
                     result);
         }
 
-        boolean heldBy(Entry.By by) {
-            return holder.equals(by.name()) && incarnation == by.incarnation();
+        boolean isHeldBy(Entry.SessionId session) {
+            return holder.equals(session.name()) && incarnation == session.incarnation();
         }
 
         private long bytes() {
@@ -94,11 +94,11 @@
         }
     }
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_RESULT = new byte[0];
 
     private final LinkedHashMap<String, Order> byId = new LinkedHashMap<>();
     private final Map<String, String> byKey = new HashMap<>();
-    private long bytes;
+    private long storedBytes;
 
     /** All, in the order in which they were taken. */
     public Collection<Order> all() {
@@ -106,12 +106,12 @@
     }
 
     /** One by its handle, or null. */
-    public Order of(String id) {
+    public Order find(String id) {
         return byId.get(id);
     }
 
     /** The order under a function and a client's key, open or kept, or null. */
-    public Order under(String function, String unique) {
+    public Order findByKey(String function, String unique) {
         return byId.get(byKey.getOrDefault(key(function, unique), ""));
     }
 
@@ -120,182 +120,195 @@
     }
 
     /** Takes an order; under a key that is known it is that one, whose handle is told. */
-    Outcome take(Entry.Take t, Sessions sessions, Collection<News> news) {
-        Order same = byId.get(t.id());
-        same = same != null || t.unique().isEmpty() ? same : under(t.function(), t.unique());
-        if (same != null) {
-            return new Outcome(true, 0, same.id);
+    Outcome take(Entry.Take command, Sessions sessions, Collection<News> events) {
+        Order existing = byId.get(command.id());
+        existing = existing != null || command.unique().isEmpty()
+                ? existing
+                : findByKey(command.function(), command.unique());
+        if (existing != null) {
+            return new Outcome(true, 0, existing.id);
         }
-        if (!sessions.live(t.by().name(), t.by().incarnation())) {
-            return Outcome.refused("no such life as " + t.by().name() + "#" + t.by().incarnation());
+        if (!sessions.live(command.session().name(), command.session().incarnation())) {
+            return Outcome.refused("no such life as " + command.session().name() + "#"
+                    + command.session().incarnation());
         }
-        if (byId.size() >= MOST || bytes + t.body().length > MOST_BYTES) {
-            return Outcome.refused("the fleet's ledger is full: " + byId.size() + " orders, " + bytes + " bytes");
+        if (byId.size() >= MAX_ORDERS || storedBytes + command.body().length > MAX_BYTES) {
+            return Outcome.refused("the fleet's ledger is full: " + byId.size() + " orders, " + storedBytes + " bytes");
         }
-        Order o = new Order(
-                t.id(),
-                t.function(),
-                t.unique(),
-                t.body(),
-                t.priority(),
-                t.patienceMs(),
-                t.again(),
-                t.background(),
+        Order order = new Order(
+                command.id(),
+                command.function(),
+                command.unique(),
+                command.body(),
+                command.priority(),
+                command.patienceMs(),
+                command.repeatable(),
+                command.background(),
                 State.TAKEN,
-                t.by().name(),
-                t.by().incarnation(),
+                command.session().name(),
+                command.session().incarnation(),
                 0,
-                NOTHING);
-        put(o, news);
-        return new Outcome(true, 0, o.id);
+                EMPTY_RESULT);
+        update(order, events);
+        return new Outcome(true, 0, order.id);
     }
 
     /** One event of an order's life, told by a life that holds it, or that heard its worker. */
-    Outcome event(Entry.Told t, Sessions sessions, Collection<News> news) {
-        Order o = byId.get(t.id());
-        if (o == null) {
-            return Outcome.refused("order " + t.id() + " is not known");
+    Outcome applyEvent(Entry.Told command, Sessions sessions, Collection<News> events) {
+        Order order = byId.get(command.id());
+        if (order == null) {
+            return Outcome.refused("order " + command.id() + " is not known");
         }
-        boolean lives = sessions.live(t.by().name(), t.by().incarnation());
-        if (t.event() == Event.LEASE
-                && (!lives
-                        || !o.heldBy(t.by())
-                        || t.lease() != o.lease
-                        || sessions.of(o.holder).state() == Sessions.State.LEAVING)) {
-            return Outcome.refused(
-                    "order " + o.id + " is not " + t.by().name() + "#" + t.by().incarnation() + "'s to lease");
+        boolean sessionLive =
+                sessions.live(command.session().name(), command.session().incarnation());
+        if (command.event() == Event.LEASE
+                && (!sessionLive
+                        || !order.isHeldBy(command.session())
+                        || command.lease() != order.lease
+                        || sessions.of(order.holder).state() == Sessions.State.LEAVING)) {
+            return Outcome.refused("order " + order.id + " is not "
+                    + command.session().name() + "#" + command.session().incarnation() + "'s to lease");
         }
-        if (t.event() == Event.GIVE_UP && !o.heldBy(t.by())) {
-            return Outcome.refused("order " + o.id + " is not " + t.by().name() + "#" + t.by().incarnation() + "'s");
+        if (command.event() == Event.GIVE_UP && !order.isHeldBy(command.session())) {
+            return Outcome.refused("order " + order.id + " is not "
+                    + command.session().name() + "#" + command.session().incarnation() + "'s");
         }
-        OrderLife.Step step = OrderLife.next(o.state, o.lease, t.event(), t.lease());
-        if (step == null || t.event() == Event.RECOVER) {
-            return Outcome.refused("order " + o.id + " is " + o.state + " under lease " + o.lease + ": " + t.event()
-                    + " under " + t.lease() + " means nothing");
+        OrderLife.Step step = OrderLife.next(order.state, order.lease, command.event(), command.lease());
+        if (step == null || command.event() == Event.RECOVER) {
+            return Outcome.refused("order " + order.id + " is " + order.state + " under lease " + order.lease + ": "
+                    + command.event() + " under " + command.lease() + " means nothing");
         }
-        if (t.event() == Event.GIVE_UP) { // it never ran: nothing is kept, and it may be handed in anew
-            remove(o);
-            news.add(new News.Ordered(o.in(State.FAILED, o.lease, NOTHING), o));
+        if (command.event() == Event.GIVE_UP) { // it never ran: nothing is kept, and it may be handed in anew
+            remove(order);
+            events.add(new News.OrderChanged(order.withState(State.FAILED, order.lease, EMPTY_RESULT), order));
             return Outcome.DONE;
         }
-        Order next = o.in(
+        Order next = order.withState(
                 step.state(),
                 (int) step.fence(),
-                step.state() == State.SERVED || step.state() == State.FAILED ? t.result() : o.result);
-        if (t.event() == Event.STALL && o.again && o.lease < MOST_LEASES) {
-            next = o.in(State.TAKEN, o.lease, o.result); // its holder may try again, under the next lease
+                step.state() == State.SERVED || step.state() == State.FAILED ? command.result() : order.result);
+        if (command.event() == Event.STALL && order.repeatable && order.lease < MAX_LEASES) {
+            next = order.withState(
+                    State.TAKEN, order.lease, order.result); // its holder may try again, under the next lease
         }
-        if (next.state == State.TAKEN && !lives) {
-            next = next.heldBy("", 0);
+        if (next.state == State.TAKEN && !sessionLive) {
+            next = next.withHolder("", 0);
         }
-        put(next, news);
+        update(next, events);
         return Outcome.done(next.lease);
     }
 
     /** Free orders become a life's, as many as are still free. */
-    Outcome claim(Entry.Claim c, Sessions sessions, Collection<News> news) {
-        if (!sessions.live(c.by().name(), c.by().incarnation())
-                || sessions.of(c.by().name()).state() == Sessions.State.LEAVING) {
-            return Outcome.refused("no such life as " + c.by().name() + "#" + c.by().incarnation());
+    Outcome claim(Entry.Claim command, Sessions sessions, Collection<News> events) {
+        if (!sessions.live(command.session().name(), command.session().incarnation())
+                || sessions.of(command.session().name()).state() == Sessions.State.LEAVING) {
+            return Outcome.refused("no such life as " + command.session().name() + "#"
+                    + command.session().incarnation());
         }
-        int got = 0;
-        for (String id : c.ids()) {
-            Order o = byId.get(id);
-            if (o != null && free(o)) {
-                put(o.heldBy(c.by().name(), c.by().incarnation()), news);
-                got++;
+        int claimed = 0;
+        for (String id : command.ids()) {
+            Order order = byId.get(id);
+            if (order != null && isFree(order)) {
+                update(
+                        order.withHolder(
+                                command.session().name(), command.session().incarnation()),
+                        events);
+                claimed++;
             }
         }
-        return Outcome.done(got);
+        return Outcome.done(claimed);
     }
 
     /** Whether nobody holds an order that was not handed out. */
-    static boolean free(Order o) {
-        return o.state == State.TAKEN && o.holder.isEmpty();
+    static boolean isFree(Order order) {
+        return order.state == State.TAKEN && order.holder.isEmpty();
     }
 
     /** Its holder gives what it has not handed out back. */
-    Outcome release(Entry.Release r, Collection<News> news) {
-        for (String id : r.ids()) {
-            Order o = byId.get(id);
-            if (o != null && o.state == State.TAKEN && o.heldBy(r.by())) {
-                put(o.heldBy("", 0), news);
+    Outcome release(Entry.Release command, Collection<News> events) {
+        for (String id : command.ids()) {
+            Order order = byId.get(id);
+            if (order != null && order.state == State.TAKEN && order.isHeldBy(command.session())) {
+                update(order.withHolder("", 0), events);
             }
         }
         return Outcome.DONE;
     }
 
     /** The ledger's owner says whose worker was waited for long enough, and whose outcome was kept long enough. */
-    Outcome settle(Entry.Settle s, Collection<News> news) {
-        for (String id : s.given()) {
-            Order o = byId.get(id);
-            if (o != null && o.state == State.AWAITED) {
-                put(
-                        o.again && o.lease < MOST_LEASES
-                                ? o.in(State.TAKEN, o.lease, o.result).heldBy("", 0)
-                                : o.in(State.UNKNOWN, o.lease, o.result),
-                        news);
+    Outcome settle(Entry.Settle command, Collection<News> events) {
+        for (String id : command.givenUp()) {
+            Order order = byId.get(id);
+            if (order != null && order.state == State.AWAITED) {
+                update(
+                        order.repeatable && order.lease < MAX_LEASES
+                                ? order.withState(State.TAKEN, order.lease, order.result)
+                                        .withHolder("", 0)
+                                : order.withState(State.UNKNOWN, order.lease, order.result),
+                        events);
             }
         }
-        for (String id : s.forgotten()) {
-            Order o = byId.get(id);
-            if (o != null && o.state.ended()) {
-                remove(o);
+        for (String id : command.forgotten()) {
+            Order order = byId.get(id);
+            if (order != null && order.state.ended()) {
+                remove(order);
             }
         }
         return Outcome.DONE;
     }
 
     /** A life is over: what it held and had not leased is free, what it had leased is awaited. */
-    void lost(String name, long incarnation, Collection<News> news) {
-        each(o -> o.holder.equals(name) && o.incarnation == incarnation && !o.state.ended(), o -> {
-            OrderLife.Step step = OrderLife.next(o.state, o.lease, Event.RECOVER, o.lease);
-            Order next = o.in(step.state(), o.lease, o.result);
-            put(next.state == State.TAKEN ? next.heldBy("", 0) : next, news);
-        });
+    void sessionLost(String name, long incarnation, Collection<News> events) {
+        forEachMatching(
+                order -> order.holder.equals(name) && order.incarnation == incarnation && !order.state.ended(),
+                order -> {
+                    OrderLife.Step step = OrderLife.next(order.state, order.lease, Event.RECOVER, order.lease);
+                    Order next = order.withState(step.state(), order.lease, order.result);
+                    update(next.state == State.TAKEN ? next.withHolder("", 0) : next, events);
+                });
     }
 
     /** A life ends in order: what it has not handed out is free at once. */
-    void leaving(String name, long incarnation, Collection<News> news) {
-        each(
-                o -> o.state == State.TAKEN && o.holder.equals(name) && o.incarnation == incarnation,
-                o -> put(o.heldBy("", 0), news));
+    void sessionLeaving(String name, long incarnation, Collection<News> events) {
+        forEachMatching(
+                order -> order.state == State.TAKEN && order.holder.equals(name) && order.incarnation == incarnation,
+                order -> update(order.withHolder("", 0), events));
     }
 
-    private void each(Predicate<Order> which, java.util.function.Consumer<Order> what) {
-        for (Order o : List.copyOf(byId.values())) {
-            if (which.test(o)) {
-                what.accept(o);
+    private void forEachMatching(Predicate<Order> condition, java.util.function.Consumer<Order> action) {
+        for (Order order : List.copyOf(byId.values())) {
+            if (condition.test(order)) {
+                action.accept(order);
             }
         }
     }
 
-    private void remove(Order o) {
-        byId.remove(o.id);
-        byKey.remove(key(o.function, o.unique), o.id);
-        bytes -= o.bytes();
+    private void remove(Order order) {
+        byId.remove(order.id);
+        byKey.remove(key(order.function, order.unique), order.id);
+        storedBytes -= order.bytes();
     }
 
-    private void put(Order o, Collection<News> news) {
-        Order old = byId.put(o.id, o);
-        bytes += o.bytes() - (old == null ? 0 : old.bytes());
-        if (old == null && !o.unique.isEmpty()) {
-            byKey.put(key(o.function, o.unique), o.id);
+    private void update(Order order, Collection<News> events) {
+        Order previous = byId.put(order.id, order);
+        storedBytes += order.bytes() - (previous == null ? 0 : previous.bytes());
+        if (previous == null && !order.unique.isEmpty()) {
+            byKey.put(key(order.function, order.unique), order.id);
         }
-        news.add(new News.Ordered(o, old));
+        events.add(new News.OrderChanged(order, previous));
     }
 
     /** What a snapshot keeps of it. */
-    public record Image(List<Order> orders) {}
+    public record Snapshot(List<Order> orders) {}
 
-    Image image() {
-        return new Image(new ArrayList<>(byId.values()));
+    Snapshot snapshot() {
+        return new Snapshot(new ArrayList<>(byId.values()));
     }
 
-    static Orders of(Image image) {
-        Orders all = new Orders();
-        List<News> none = new ArrayList<>();
-        image.orders.forEach(o -> all.put(o, none));
-        return all;
+    static Orders fromSnapshot(Snapshot snapshot) {
+        Orders restored = new Orders();
+        List<News> ignored = new ArrayList<>();
+        snapshot.orders.forEach(order -> restored.update(order, ignored));
+        return restored;
     }
 }
--- a/src/main/java/plumpost/fleet/Plans.java
+++ b/src/main/java/plumpost/fleet/Plans.java
@@ -15,11 +15,11 @@
  */
 public final class Plans {
     /** Jobs and bytes held at once; one more is refused, nothing is dropped. */
-    static final int MOST = 100_000;
+    static final int MAX_JOBS = 100_000;
 
-    static final long MOST_BYTES = 64L << 20;
+    static final long MAX_BYTES = 64L << 20;
     /** Jobs given up that are remembered for {@code fleet show}. */
-    static final int MOST_GIVEN_UP = 256;
+    static final int MAX_GIVEN_UP = 256;
 
     /** Where a job is. */
     public enum State {
@@ -39,34 +39,34 @@
             String function,
             String unique,
             byte[] body,
-            double atMs,
-            boolean again,
+            double startMs,
+            boolean repeatable,
             State state,
             String target,
             long incarnation,
             long fence,
-            int tries) {
-        Job in(State next, String who, long life, long under) {
+            int attempts) {
+        Job withState(State next, String newTarget, long newIncarnation, long newFence) {
             return new Job(
                     id,
                     function,
                     unique,
                     body,
-                    atMs,
-                    again,
+                    startMs,
+                    repeatable,
                     next,
-                    who,
-                    life,
-                    under,
-                    tries + (next == State.BEGUN ? 1 : 0));
+                    newTarget,
+                    newIncarnation,
+                    newFence,
+                    attempts + (next == State.BEGUN ? 1 : 0));
         }
     }
 
     private final LinkedHashMap<String, Job> byId = new LinkedHashMap<>();
     private final Map<String, String> byKey = new HashMap<>();
     private final List<String> givenUp = new ArrayList<>();
-    private long bytes;
-    private long ended;
+    private long bodyBytes;
+    private long endedCount;
 
     /** All that are not over, in the order in which they were taken. */
     public Collection<Job> all() {
@@ -74,12 +74,12 @@
     }
 
     /** A job that is not over, or null. */
-    public Job of(String id) {
+    public Job find(String id) {
         return byId.get(id);
     }
 
     /** The open job under a function and a client's key, or null. */
-    public Job under(String function, String unique) {
+    public Job findByKey(String function, String unique) {
         return byId.get(byKey.getOrDefault(key(function, unique), ""));
     }
 
@@ -90,137 +90,154 @@
 
     /** How many are over, given up ones too. */
     public long ended() {
-        return ended;
+        return endedCount;
     }
 
     private static String key(String function, String unique) {
         return function + '\0' + unique;
     }
 
-    Outcome plan(Entry.Plan p, Collection<News> news) {
-        Job same = byId.get(p.id());
-        same = same != null || p.unique().isEmpty() ? same : under(p.function(), p.unique());
-        if (same != null) {
-            return new Outcome(true, 0, same.id);
+    Outcome plan(Entry.Plan command, Collection<News> events) {
+        Job existing = byId.get(command.id());
+        existing = existing != null || command.unique().isEmpty()
+                ? existing
+                : findByKey(command.function(), command.unique());
+        if (existing != null) {
+            return new Outcome(true, 0, existing.id);
         }
-        if (byId.size() >= MOST || bytes + p.body().length > MOST_BYTES) {
-            return Outcome.refused("the fleet's schedule is full: " + byId.size() + " jobs, " + bytes + " bytes");
+        if (byId.size() >= MAX_JOBS || bodyBytes + command.body().length > MAX_BYTES) {
+            return Outcome.refused("the fleet's schedule is full: " + byId.size() + " jobs, " + bodyBytes + " bytes");
         }
-        Job j = new Job(p.id(), p.function(), p.unique(), p.body(), p.atMs(), p.again(), State.WAITING, "", 0, 0, 0);
-        byId.put(j.id, j);
-        if (!p.unique().isEmpty()) {
-            byKey.put(key(p.function(), p.unique()), j.id);
+        Job job = new Job(
+                command.id(),
+                command.function(),
+                command.unique(),
+                command.body(),
+                command.startMs(),
+                command.repeatable(),
+                State.WAITING,
+                "",
+                0,
+                0,
+                0);
+        byId.put(job.id, job);
+        if (!command.unique().isEmpty()) {
+            byKey.put(key(command.function(), command.unique()), job.id);
         }
-        bytes += j.body.length;
-        news.add(new News.Planned(j));
-        return new Outcome(true, 0, j.id);
+        bodyBytes += job.body.length;
+        events.add(new News.JobChanged(job));
+        return new Outcome(true, 0, job.id);
     }
 
-    Outcome fire(Entry.Fire f, String wrongFence, Sessions sessions, Collection<News> news) {
-        Job j = byId.get(f.id());
-        if (wrongFence != null) {
-            return Outcome.refused(wrongFence);
+    Outcome fire(Entry.Fire command, String fenceError, Sessions sessions, Collection<News> events) {
+        Job job = byId.get(command.id());
+        if (fenceError != null) {
+            return Outcome.refused(fenceError);
         }
-        if (j == null || j.state != State.WAITING && !stuck(j, sessions)) {
-            return Outcome.refused("job " + f.id() + " is " + (j == null ? "over" : j.state + " at " + j.target));
+        if (job == null || job.state != State.WAITING && !isStalled(job, sessions)) {
+            return Outcome.refused(
+                    "job " + command.id() + " is " + (job == null ? "over" : job.state + " at " + job.target));
         }
-        if (!sessions.live(f.target(), f.incarnation())
-                || sessions.of(f.target()).state() == Sessions.State.LEAVING) {
-            return Outcome.refused("no such life as " + f.target() + "#" + f.incarnation());
+        if (!sessions.live(command.target(), command.incarnation())
+                || sessions.of(command.target()).state() == Sessions.State.LEAVING) {
+            return Outcome.refused("no such life as " + command.target() + "#" + command.incarnation());
         }
-        put(j.in(State.FIRED, f.target(), f.incarnation(), f.fence()), news);
+        update(job.withState(State.FIRED, command.target(), command.incarnation(), command.fence()), events);
         return Outcome.DONE;
     }
 
     /** Whether a job was given to a life that may not come to it: it has not begun it, so another may have it. */
-    static boolean stuck(Job j, Sessions sessions) {
-        return j.state == State.FIRED && sessions.of(j.target).state() != Sessions.State.ALIVE;
-    }
-
-    Outcome begin(Entry.Begin b, Sessions sessions, Collection<News> news) {
-        Job j = byId.get(b.id());
-        if (j == null
-                || j.state != State.FIRED
-                || !j.target.equals(b.target())
-                || j.incarnation != b.incarnation()
-                || !sessions.live(b.target(), b.incarnation())) {
-            return Outcome.refused("job " + b.id()
-                    + (j == null ? " is over" : " is " + j.state + " at " + j.target + "#" + j.incarnation));
+    static boolean isStalled(Job job, Sessions sessions) {
+        return job.state == State.FIRED && sessions.of(job.target).state() != Sessions.State.ALIVE;
+    }
+
+    Outcome begin(Entry.Begin command, Sessions sessions, Collection<News> events) {
+        Job job = byId.get(command.id());
+        if (job == null
+                || job.state != State.FIRED
+                || !job.target.equals(command.target())
+                || job.incarnation != command.incarnation()
+                || !sessions.live(command.target(), command.incarnation())) {
+            return Outcome.refused("job " + command.id()
+                    + (job == null ? " is over" : " is " + job.state + " at " + job.target + "#" + job.incarnation));
         }
-        put(j.in(State.BEGUN, j.target, j.incarnation, j.fence), news);
+        update(job.withState(State.BEGUN, job.target, job.incarnation, job.fence), events);
         return Outcome.DONE;
     }
 
-    Outcome end(Entry.End e, Collection<News> news) {
-        Job j = byId.get(e.id());
-        if (j == null || j.state != State.BEGUN || !j.target.equals(e.target()) || j.incarnation != e.incarnation()) {
-            return Outcome.refused("job " + e.id() + (j == null ? " is over" : " is not this life's"));
+    Outcome end(Entry.End command, Collection<News> events) {
+        Job job = byId.get(command.id());
+        if (job == null
+                || job.state != State.BEGUN
+                || !job.target.equals(command.target())
+                || job.incarnation != command.incarnation()) {
+            return Outcome.refused("job " + command.id() + (job == null ? " is over" : " is not this life's"));
         }
-        if (e.unstarted()) {
-            put(j.in(State.WAITING, "", 0, 0), news);
+        if (command.unstarted()) {
+            update(job.withState(State.WAITING, "", 0, 0), events);
         } else {
-            over(j, news);
+            finish(job, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome callOff(Entry.CallOff c, Collection<News> news) {
-        Job j = byId.get(c.id());
-        if (j == null || j.state != State.WAITING) {
-            return Outcome.refused("job " + c.id() + (j == null ? " is over" : " is " + j.state));
+    Outcome callOff(Entry.CallOff command, Collection<News> events) {
+        Job job = byId.get(command.id());
+        if (job == null || job.state != State.WAITING) {
+            return Outcome.refused("job " + command.id() + (job == null ? " is over" : " is " + job.state));
         }
-        over(j, news);
+        finish(job, events);
         return Outcome.DONE;
     }
 
     /** A life is over: what it was told goes on elsewhere, what it had begun is begun anew or given up. */
-    void lost(String name, long incarnation, Collection<News> news) {
-        for (Job j : List.copyOf(byId.values())) {
-            if (j.target.equals(name) && j.incarnation == incarnation) {
-                if (j.state == State.FIRED || j.again) {
-                    put(j.in(State.WAITING, "", 0, 0), news);
+    void sessionLost(String name, long incarnation, Collection<News> events) {
+        for (Job job : List.copyOf(byId.values())) {
+            if (job.target.equals(name) && job.incarnation == incarnation) {
+                if (job.state == State.FIRED || job.repeatable) {
+                    update(job.withState(State.WAITING, "", 0, 0), events);
                 } else {
-                    if (givenUp.size() >= MOST_GIVEN_UP) {
+                    if (givenUp.size() >= MAX_GIVEN_UP) {
                         givenUp.remove(0);
                     }
-                    givenUp.add(j.id);
-                    over(j, news);
+                    givenUp.add(job.id);
+                    finish(job, events);
                 }
             }
         }
     }
 
-    private void put(Job j, Collection<News> news) {
-        byId.put(j.id, j);
-        news.add(new News.Planned(j));
+    private void update(Job job, Collection<News> events) {
+        byId.put(job.id, job);
+        events.add(new News.JobChanged(job));
     }
 
-    private void over(Job j, Collection<News> news) {
-        byId.remove(j.id);
-        byKey.remove(key(j.function, j.unique), j.id);
-        bytes -= j.body.length;
-        ended++;
-        news.add(new News.Planned(j.in(State.ENDED, j.target, j.incarnation, j.fence)));
+    private void finish(Job job, Collection<News> events) {
+        byId.remove(job.id);
+        byKey.remove(key(job.function, job.unique), job.id);
+        bodyBytes -= job.body.length;
+        endedCount++;
+        events.add(new News.JobChanged(job.withState(State.ENDED, job.target, job.incarnation, job.fence)));
     }
 
     /** What a snapshot keeps of it. */
-    public record Image(List<Job> jobs, List<String> givenUp, long ended) {}
+    public record Snapshot(List<Job> jobs, List<String> givenUp, long ended) {}
 
-    Image image() {
-        return new Image(new ArrayList<>(byId.values()), new ArrayList<>(givenUp), ended);
+    Snapshot snapshot() {
+        return new Snapshot(new ArrayList<>(byId.values()), new ArrayList<>(givenUp), endedCount);
     }
 
-    static Plans of(Image image) {
-        Plans p = new Plans();
-        for (Job j : image.jobs) {
-            p.byId.put(j.id, j);
-            if (!j.unique.isEmpty()) {
-                p.byKey.put(key(j.function, j.unique), j.id);
+    static Plans fromSnapshot(Snapshot snapshot) {
+        Plans restored = new Plans();
+        for (Job job : snapshot.jobs) {
+            restored.byId.put(job.id, job);
+            if (!job.unique.isEmpty()) {
+                restored.byKey.put(key(job.function, job.unique), job.id);
             }
-            p.bytes += j.body.length;
+            restored.bodyBytes += job.body.length;
         }
-        p.givenUp.addAll(image.givenUp);
-        p.ended = image.ended;
-        return p;
+        restored.givenUp.addAll(snapshot.givenUp);
+        restored.endedCount = snapshot.ended;
+        return restored;
     }
 }
--- a/src/main/java/plumpost/fleet/ScheduleRunner.java
+++ b/src/main/java/plumpost/fleet/ScheduleRunner.java
@@ -21,29 +21,29 @@
  */
 final class ScheduleRunner {
     /** Jobs given out and not yet begun, and jobs that one life may have begun: more wait their turn. */
-    private static final int MOST_FIRED = 256;
+    private static final int MAX_FIRED = 256;
 
-    private static final int MOST_AT_ONE = 1024;
+    private static final int MAX_JOBS_PER_SESSION = 1024;
     /** A life that could not take a job is not asked again for this long. */
-    private static final double FULL_MS = 1000;
+    private static final double FULL_PAUSE_MS = 1000;
 
     private final Member member;
     private final Host host;
     private final TreeSet<Job> waiting =
-            new TreeSet<>(Comparator.comparingDouble(Job::atMs).thenComparing(Job::id));
-    private final Map<String, Job> open = new LinkedHashMap<>();
-    private final Map<String, Job> mine = new LinkedHashMap<>();
+            new TreeSet<>(Comparator.comparingDouble(Job::startMs).thenComparing(Job::id));
+    private final Map<String, Job> openJobs = new LinkedHashMap<>();
+    private final Map<String, Job> ownJobs = new LinkedHashMap<>();
     /** The schedule's jobs at each scheduler, as the log says, and those that it is about to say so of. */
     private final Map<String, Integer> load = new HashMap<>();
 
-    private final Map<String, Integer> coming = new HashMap<>();
-    private final Set<String> handed = new HashSet<>();
-    private final Map<String, Boolean> toEnd = new LinkedHashMap<>();
+    private final Map<String, Integer> pendingLoad = new HashMap<>();
+    private final Set<String> handedOut = new HashSet<>();
+    private final Map<String, Boolean> pendingEnds = new LinkedHashMap<>();
     /** What it has asked to begin and that still stands as told to it: the log may yet say that it is begun here. */
     private final Set<String> beginning = new HashSet<>();
 
-    private double fullUntil;
-    private int fired;
+    private double fullUntilMs;
+    private int firedCount;
 
     ScheduleRunner(Member member, Host host) {
         this.member = member;
@@ -53,168 +53,181 @@
     /** Builds what it keeps anew from the view. */
     void rebuild() {
         waiting.clear();
-        open.clear();
-        mine.clear();
+        openJobs.clear();
+        ownJobs.clear();
         load.clear();
-        fired = 0;
-        member.view().plans().all().forEach(this::changed);
-        beginning.retainAll(mine.keySet());
+        firedCount = 0;
+        member.state().plans().all().forEach(this::changed);
+        beginning.retainAll(ownJobs.keySet());
     }
 
     /** A job stands so now. */
-    void changed(Job j) {
-        Job old = open.remove(j.id());
-        if (old != null) {
-            waiting.remove(old);
-            mine.remove(old.id());
-            fired -= old.state() == State.FIRED ? 1 : 0;
-            load.merge(old.target(), -1, Integer::sum);
+    void changed(Job job) {
+        Job previous = openJobs.remove(job.id());
+        if (previous != null) {
+            waiting.remove(previous);
+            ownJobs.remove(previous.id());
+            firedCount -= previous.state() == State.FIRED ? 1 : 0;
+            load.merge(previous.target(), -1, Integer::sum);
         }
-        if (j.state() != State.FIRED || !j.target().equals(member.name()) || j.incarnation() != member.incarnation()) {
-            beginning.remove(j.id());
+        if (job.state() != State.FIRED
+                || !job.target().equals(member.name())
+                || job.incarnation() != member.incarnation()) {
+            beginning.remove(job.id());
         }
-        if (j.state() != State.ENDED) {
-            open.put(j.id(), j);
-            load.merge(j.target(), 1, Integer::sum);
-            fired += j.state() == State.FIRED ? 1 : 0;
-            if (j.state() == State.WAITING) {
-                waiting.add(j);
-            } else if (j.target().equals(member.name())) {
-                mine.put(j.id(), j);
+        if (job.state() != State.ENDED) {
+            openJobs.put(job.id(), job);
+            load.merge(job.target(), 1, Integer::sum);
+            firedCount += job.state() == State.FIRED ? 1 : 0;
+            if (job.state() == State.WAITING) {
+                waiting.add(job);
+            } else if (job.target().equals(member.name())) {
+                ownJobs.put(job.id(), job);
             }
         }
     }
 
     /** Its life is over: what it has not handed to a worker is called back; what ends now belongs to nobody here. */
-    void forget() {
-        handed.forEach(host::callBack);
-        handed.clear();
-        toEnd.clear();
+    void sessionEnded() {
+        handedOut.forEach(host::callBack);
+        handedOut.clear();
+        pendingEnds.clear();
         beginning.clear();
     }
 
     /** Whether nothing is left here that it was told to run, nor on its way: a life that leaves first gives that up. */
-    boolean done() {
-        return handed.isEmpty()
-                && toEnd.isEmpty()
+    boolean finished() {
+        return handedOut.isEmpty()
+                && pendingEnds.isEmpty()
                 && beginning.isEmpty()
-                && mine.values().stream()
-                        .noneMatch(j -> j.state() == State.BEGUN && j.incarnation() == member.incarnation());
+                && ownJobs.values().stream()
+                        .noneMatch(job -> job.state() == State.BEGUN && job.incarnation() == member.incarnation());
     }
 
     /** A job that was handed in here has ended, or nobody has seen it. */
     void ended(String id, boolean unstarted) {
-        if (handed.contains(id)) {
+        if (handedOut.contains(id)) {
             if (unstarted) {
-                member.say("hands " + id + " back, nobody has seen it");
+                member.logLine("hands " + id + " back, nobody has seen it");
             }
-            toEnd.put(id, unstarted);
-            look();
+            pendingEnds.put(id, unstarted);
+            poll();
         }
     }
 
-    void look() {
+    void poll() {
         if (member.fence(FleetBook.SCHEDULE) > 0) {
-            fire();
+            fireDue();
         }
-        if (!member.lives()) {
+        if (!member.sessionActive()) {
             return;
         }
-        for (Job j : new ArrayList<>(mine.values())) {
-            if (j.incarnation() != member.incarnation()) {
+        for (Job job : new ArrayList<>(ownJobs.values())) {
+            if (job.incarnation() != member.incarnation()) {
                 continue;
             }
-            if (j.state() == State.FIRED && member.nowMs() >= fullUntil && member.mayAct()) {
-                if (member.once(
-                        "begin " + j.id(), new Entry.Begin(j.id(), member.name(), member.incarnation()), o -> {})) {
-                    beginning.add(j.id());
+            if (job.state() == State.FIRED && member.nowMs() >= fullUntilMs && member.mayAct()) {
+                if (member.proposeOnce(
+                        "begin " + job.id(),
+                        new Entry.Begin(job.id(), member.name(), member.incarnation()),
+                        outcome -> {})) {
+                    beginning.add(job.id());
                 }
-            } else if (j.state() == State.BEGUN && !handed.contains(j.id()) && !toEnd.containsKey(j.id())) {
+            } else if (job.state() == State.BEGUN
+                    && !handedOut.contains(job.id())
+                    && !pendingEnds.containsKey(job.id())) {
                 if (member.stopping()) {
-                    toEnd.put(j.id(), true); // begun as the end was told: nobody has seen it, it goes back
+                    pendingEnds.put(job.id(), true); // begun as the end was told: nobody has seen it, it goes back
                 } else {
-                    handOut(j);
+                    handOut(job);
                 }
             }
         }
-        for (String id : new ArrayList<>(toEnd.keySet())) {
-            Job j = mine.get(id);
-            if (j == null || j.incarnation() != member.incarnation() || j.state() != State.BEGUN) {
-                toEnd.remove(id); // recorded
-                handed.remove(id);
+        for (String id : new ArrayList<>(pendingEnds.keySet())) {
+            Job job = ownJobs.get(id);
+            if (job == null || job.incarnation() != member.incarnation() || job.state() != State.BEGUN) {
+                pendingEnds.remove(id); // recorded
+                handedOut.remove(id);
             } else {
-                member.once(
-                        "end " + id, new Entry.End(id, member.name(), member.incarnation(), toEnd.get(id)), o -> {});
+                member.proposeOnce(
+                        "end " + id,
+                        new Entry.End(id, member.name(), member.incarnation(), pendingEnds.get(id)),
+                        outcome -> {});
             }
         }
     }
 
     /** The right to run it is this life's and is used up by this call; the lease is asked once more just before. */
-    private void handOut(Job j) {
+    private void handOut(Job job) {
         if (!member.mayAct()) {
             return;
         }
-        handed.add(j.id());
-        if (host.run(new Fleet.Job(j.id(), j.function(), j.unique(), j.body(), j.atMs(), j.again()))) {
+        handedOut.add(job.id());
+        if (host.run(
+                new Fleet.Job(job.id(), job.function(), job.unique(), job.body(), job.startMs(), job.repeatable()))) {
             member.count("handed_out");
-            member.say("runs " + j.id() + " as incarnation " + j.incarnation() + ", fired under fence " + j.fence());
+            member.logLine(
+                    "runs " + job.id() + " as incarnation " + job.incarnation() + ", fired under fence " + job.fence());
         } else {
-            handed.remove(j.id());
-            toEnd.put(j.id(), true);
-            fullUntil = member.nowMs() + FULL_MS;
+            handedOut.remove(job.id());
+            pendingEnds.put(job.id(), true);
+            fullUntilMs = member.nowMs() + FULL_PAUSE_MS;
             member.count("handed_back");
-            member.say("cannot take " + j.id() + " now: it goes back");
+            member.logLine("cannot take " + job.id() + " now: it goes back");
         }
     }
 
     /** What is due and waits, and what was given to a life that may not come to it. */
     private List<Job> due() {
-        double now = member.unixTimeMs();
-        List<Job> all = new ArrayList<>();
-        if (member.view().sessions().all().stream().anyMatch(s -> s.live() && s.state() != Sessions.State.ALIVE)) {
-            open.values().stream()
-                    .filter(j -> Plans.stuck(j, member.view().sessions()))
-                    .forEach(all::add);
+        double nowMs = member.unixTimeMs();
+        List<Job> jobs = new ArrayList<>();
+        if (member.state().sessions().all().stream()
+                .anyMatch(session -> session.live() && session.state() != Sessions.State.ALIVE)) {
+            openJobs.values().stream()
+                    .filter(job -> Plans.isStalled(job, member.state().sessions()))
+                    .forEach(jobs::add);
         }
-        for (Job j : waiting) {
-            if (j.atMs() > now || all.size() >= MOST_FIRED) {
+        for (Job job : waiting) {
+            if (job.startMs() > nowMs || jobs.size() >= MAX_FIRED) {
                 break;
             }
-            all.add(j);
+            jobs.add(job);
         }
-        return all;
+        return jobs;
     }
 
-    private void fire() {
-        int asked = 0;
-        for (Job j : due()) {
-            if (fired + asked >= MOST_FIRED && j.state() == State.WAITING) {
+    private void fireDue() {
+        int proposed = 0;
+        for (Job job : due()) {
+            if (firedCount + proposed >= MAX_FIRED && job.state() == State.WAITING) {
                 return;
             }
-            Session to = target(j.function());
-            if (to != null
-                    && member.once(
-                            "fire " + j.id(),
-                            new Entry.Fire(j.id(), member.fence(FleetBook.SCHEDULE), to.name(), to.incarnation()),
-                            o -> coming.merge(to.name(), -1, Integer::sum))) {
-                asked++;
-                coming.merge(to.name(), 1, Integer::sum); // lest one gets all that is due together
+            Session target = selectTarget(job.function());
+            if (target != null
+                    && member.proposeOnce(
+                            "fire " + job.id(),
+                            new Entry.Fire(
+                                    job.id(), member.fence(FleetBook.SCHEDULE), target.name(), target.incarnation()),
+                            outcome -> pendingLoad.merge(target.name(), -1, Integer::sum))) {
+                proposed++;
+                pendingLoad.merge(target.name(), 1, Integer::sum); // lest one gets all that is due together
             }
         }
     }
 
     /** Who has workers for a function and the least of the schedule's jobs; null while nobody has. */
-    private Session target(String function) {
-        List<Session> able = member.view().sessions().all().stream()
-                .filter(s ->
-                        s.state() == Sessions.State.ALIVE && s.functions().contains(function) && load(s) < MOST_AT_ONE)
+    private Session selectTarget(String function) {
+        List<Session> candidates = member.state().sessions().all().stream()
+                .filter(session -> session.state() == Sessions.State.ALIVE
+                        && session.functions().contains(function)
+                        && totalLoad(session) < MAX_JOBS_PER_SESSION)
                 .toList();
-        return able.stream()
-                .min(Comparator.comparing(this::load).thenComparing(Session::name))
+        return candidates.stream()
+                .min(Comparator.comparing(this::totalLoad).thenComparing(Session::name))
                 .orElse(null);
     }
 
-    private int load(Session s) {
-        return load.getOrDefault(s.name(), 0) + coming.getOrDefault(s.name(), 0);
+    private int totalLoad(Session session) {
+        return load.getOrDefault(session.name(), 0) + pendingLoad.getOrDefault(session.name(), 0);
     }
 }
--- /dev/null
+++ b/src/main/java/plumpost/fleet/SessionRunner.java
@@ -0,0 +1,131 @@
+package plumpost.fleet;
+
+import java.util.List;
+import plumpost.config.PeersConfig;
+import plumpost.fleet.Entry.Offer;
+import plumpost.peers.Host;
+
+/**
+ * A scheduler's life in the fleet: joined as an incarnation, heard by the leader at intervals, with a lease that ends
+ * within two thirds of {@code lostMs} of the last beat that was answered. When it is over the next one is joined.
+ */
+final class SessionRunner {
+    /** A join that was not answered is proposed again, and a change of functions is told, no sooner than this. */
+    private static final double JOIN_RETRY_MS = 500;
+
+    private static final double FUNCTIONS_REPORT_MS = 250;
+    private static final int MAX_FUNCTIONS = 1024;
+
+    private final Member member;
+    private final Host host;
+    private final PeersConfig config;
+    private final String nonce;
+    private final String directoryId;
+    private final List<Offer> offers;
+    private long incarnation;
+    private boolean joining;
+    private double nextJoinMs;
+    private double nextHeartbeatMs;
+    private double leaseEndMs;
+    private double lastHeardMs;
+    private List<String> reportedFunctions = List.of();
+    private double nextFunctionsReportMs;
+
+    SessionRunner(Member member, Host host, PeersConfig config, String nonce, String directoryId, List<Offer> offers) {
+        this.member = member;
+        this.host = host;
+        this.config = config;
+        this.nonce = nonce;
+        this.directoryId = directoryId;
+        this.offers = List.copyOf(offers);
+    }
+
+    /** Its number, or 0 between two lives. */
+    long incarnation() {
+        return incarnation;
+    }
+
+    /** Whether it goes on as far as it knows: a leader has heard it within its lease. */
+    boolean holdsLease(double nowMs) {
+        return incarnation > 0 && nowMs < leaseEndMs;
+    }
+
+    /** Joins, or lets the leader hear it, when it is time. */
+    void tick(double nowMs) {
+        if (incarnation == 0) {
+            if (!joining && !member.stopping() && nowMs >= nextJoinMs) {
+                join();
+            }
+        } else if (nowMs >= nextHeartbeatMs) {
+            nextHeartbeatMs = nowMs + config.beatMs();
+            long currentIncarnation = incarnation;
+            member.log()
+                    .beat(
+                            config.self().name(),
+                            currentIncarnation,
+                            nowMs - lastHeardMs,
+                            heard -> onHeartbeatReply(currentIncarnation, nowMs, heard));
+        }
+    }
+
+    private void join() {
+        joining = true;
+        member.log()
+                .propose(
+                        new Entry.Join(
+                                config.self().name(),
+                                config.self().site(),
+                                directoryId,
+                                config.self().vote(),
+                                nonce,
+                                FleetCodec.FORMAT,
+                                offers),
+                        outcome -> {
+                            joining = false;
+                            nextJoinMs = member.nowMs() + JOIN_RETRY_MS;
+                            if (outcome != null && outcome.done()) {
+                                incarnation = outcome.number();
+                                lastHeardMs = member.nowMs();
+                                reportedFunctions = List.of();
+                                member.count("joined");
+                                member.logLine("joined as incarnation " + incarnation);
+                            } else if (outcome != null) {
+                                member.halted(outcome.words());
+                            }
+                        });
+    }
+
+    private void onHeartbeatReply(long heartbeatIncarnation, double sentMs, Boolean heard) {
+        if (heartbeatIncarnation != incarnation || heard == null) {
+            return;
+        }
+        if (heard) {
+            lastHeardMs = member.nowMs();
+            leaseEndMs = Math.max(leaseEndMs, sentMs + config.lostMs() * 2 / 3);
+        } else {
+            member.sessionEnded("the fleet took it for lost");
+        }
+    }
+
+    /** It is over; the next one is joined at once. */
+    void reset() {
+        incarnation = 0;
+        leaseEndMs = 0;
+        nextJoinMs = member.nowMs();
+    }
+
+    /** Tells which functions have workers here, where that has changed. */
+    void reportFunctions(double nowMs) {
+        List<String> functions = nowMs < nextFunctionsReportMs
+                ? reportedFunctions
+                : host.functions().stream().sorted().limit(MAX_FUNCTIONS).toList();
+        if (!functions.equals(reportedFunctions)) {
+            nextFunctionsReportMs = nowMs + FUNCTIONS_REPORT_MS;
+            member.proposeOnce("serves", new Entry.Serves(config.self().name(), incarnation, functions), outcome -> {
+                if (outcome != null && outcome.done()) {
+                    reportedFunctions = functions;
+                }
+            });
+        }
+    }
+}
--- a/src/main/java/plumpost/fleet/Sessions.java
+++ b/src/main/java/plumpost/fleet/Sessions.java
@@ -11,9 +11,9 @@
 /** Who belongs to the fleet: the latest life of each scheduler, and the data directories that may never come back. */
 public final class Sessions {
     /** Schedulers known at once; those that left are forgotten for newcomers, the rest is removed by command. */
-    static final int MOST = 1024;
+    static final int MAX_SESSIONS = 1024;
     /** Data directories remembered as removed; the oldest are forgotten first, which a thousand removals later is safe enough. */
-    static final int MOST_REMOVED = 1024;
+    static final int MAX_REMOVED = 1024;
 
     /** What a life can be in. */
     public enum State {
@@ -48,7 +48,7 @@
             return state == State.ALIVE || state == State.SUSPECT || state == State.LEAVING;
         }
 
-        Session in(State next) {
+        Session withState(State next) {
             return new Session(name, site, disk, vote, nonce, reads, offers, incarnation, next, functions);
         }
 
@@ -58,8 +58,8 @@
     }
 
     private final TreeMap<String, Session> byName = new TreeMap<>();
-    private final LinkedHashSet<String> removed = new LinkedHashSet<>();
-    private long incarnations;
+    private final LinkedHashSet<String> removedDirectories = new LinkedHashSet<>();
+    private long lastIncarnation;
     private int format = 1;
 
     /** All, by name. */
@@ -74,14 +74,14 @@
 
     /** Whether just this life goes on. */
     public boolean live(String name, long incarnation) {
-        Session s = byName.get(name);
-        return s != null && s.incarnation == incarnation && s.live();
+        Session session = byName.get(name);
+        return session != null && session.incarnation == incarnation && session.live();
     }
 
     /** The newest record format that every scheduler reads which may still read the log. */
     public int reads() {
         return byName.values().stream()
-                .filter(s -> s.state != State.REMOVED && s.state != State.LEFT)
+                .filter(session -> session.state != State.REMOVED && session.state != State.LEFT)
                 .mapToInt(Session::reads)
                 .min()
                 .orElse(format);
@@ -92,133 +92,134 @@
         return format;
     }
 
-    Outcome raise(Entry.Raise r) {
-        if (r.format() > reads()) {
-            return Outcome.refused("record format " + r.format() + " is not read by all, " + reads() + " is");
+    Outcome raise(Entry.Raise command) {
+        if (command.format() > reads()) {
+            return Outcome.refused("record format " + command.format() + " is not read by all, " + reads() + " is");
         }
-        format = Math.max(format, r.format());
+        format = Math.max(format, command.format());
         return Outcome.DONE;
     }
 
-    Outcome join(Entry.Join j, Collection<News> news) {
-        Session old = byName.get(j.name());
-        if (removed.contains(j.disk())) {
-            return Outcome.refused("the data directory of " + j.name()
+    Outcome join(Entry.Join command, Collection<News> events) {
+        Session previous = byName.get(command.name());
+        if (removedDirectories.contains(command.directoryId())) {
+            return Outcome.refused("the data directory of " + command.name()
                     + " was removed from the fleet: it starts anew on an" + " empty one");
         }
-        if (j.reads() < format) {
-            return Outcome.refused("the fleet writes record format " + format + ", the program of " + j.name()
-                    + " reads 1 to " + j.reads() + ": it is too old");
-        }
-        if (old != null && old.live() && old.nonce.equals(j.nonce())) {
-            return Outcome.done(old.incarnation);
-        }
-        if (old == null && byName.size() >= MOST && !forgetOne()) {
-            return Outcome.refused("the fleet has " + MOST + " schedulers");
-        }
-        Session s = new Session(
-                j.name(),
-                j.site(),
-                j.disk(),
-                j.vote(),
-                j.nonce(),
-                j.reads(),
-                List.copyOf(j.offers()),
-                ++incarnations,
+        if (command.maxFormat() < format) {
+            return Outcome.refused("the fleet writes record format " + format + ", the program of " + command.name()
+                    + " reads 1 to " + command.maxFormat() + ": it is too old");
+        }
+        if (previous != null && previous.live() && previous.nonce.equals(command.nonce())) {
+            return Outcome.done(previous.incarnation);
+        }
+        if (previous == null && byName.size() >= MAX_SESSIONS && !forgetDeparted()) {
+            return Outcome.refused("the fleet has " + MAX_SESSIONS + " schedulers");
+        }
+        Session session = new Session(
+                command.name(),
+                command.site(),
+                command.directoryId(),
+                command.voter(),
+                command.nonce(),
+                command.maxFormat(),
+                List.copyOf(command.offers()),
+                ++lastIncarnation,
                 State.ALIVE,
                 List.of());
-        if (old != null && old.live()) {
-            news.add(new News.Changed(old.in(State.LOST), old.state));
+        if (previous != null && previous.live()) {
+            events.add(new News.SessionChanged(previous.withState(State.LOST), previous.state));
         }
-        byName.put(s.name, s);
-        news.add(new News.Changed(s, null));
-        return Outcome.done(s.incarnation);
+        byName.put(session.name, session);
+        events.add(new News.SessionChanged(session, null));
+        return Outcome.done(session.incarnation);
     }
 
-    private boolean forgetOne() {
-        return byName.values().removeIf(s -> s.state == State.LEFT || s.state == State.REMOVED);
+    private boolean forgetDeparted() {
+        return byName.values().removeIf(session -> session.state == State.LEFT || session.state == State.REMOVED);
     }
 
-    Outcome judge(Entry.Judge j, long term, Collection<News> news) {
-        if (j.term() != term) {
-            return Outcome.refused("term " + j.term() + " is over");
+    Outcome judge(Entry.Judge command, long term, Collection<News> events) {
+        if (command.term() != term) {
+            return Outcome.refused("term " + command.term() + " is over");
         }
-        if (!live(j.name(), j.incarnation())) {
+        if (!live(command.name(), command.incarnation())) {
             return Outcome.refused("no such life");
         }
-        if (j.verdict() == Verdict.LOST) {
-            change(j.name(), State.LOST, news);
-        } else if (byName.get(j.name()).state != State.LEAVING) {
-            change(j.name(), j.verdict() == Verdict.ALIVE ? State.ALIVE : State.SUSPECT, news);
+        if (command.verdict() == Verdict.LOST) {
+            changeState(command.name(), State.LOST, events);
+        } else if (byName.get(command.name()).state != State.LEAVING) {
+            changeState(command.name(), command.verdict() == Verdict.ALIVE ? State.ALIVE : State.SUSPECT, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome leave(Entry.Leave l, Collection<News> news) {
-        if (live(l.name(), l.incarnation())) {
-            change(l.name(), l.last() ? State.LEFT : State.LEAVING, news);
+    Outcome leave(Entry.Leave command, Collection<News> events) {
+        if (live(command.name(), command.incarnation())) {
+            changeState(command.name(), command.last() ? State.LEFT : State.LEAVING, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome remove(Entry.Remove r, Collection<News> news) {
-        Session s = byName.get(r.name());
-        if (s == null) {
-            return Outcome.refused("no scheduler " + r.name() + " is known");
+    Outcome remove(Entry.Remove command, Collection<News> events) {
+        Session session = byName.get(command.name());
+        if (session == null) {
+            return Outcome.refused("no scheduler " + command.name() + " is known");
         }
-        if (s.state != State.REMOVED) {
-            if (removed.size() >= MOST_REMOVED) {
-                removed.remove(removed.iterator().next());
+        if (session.state != State.REMOVED) {
+            if (removedDirectories.size() >= MAX_REMOVED) {
+                removedDirectories.remove(removedDirectories.iterator().next());
             }
-            removed.add(s.disk);
-            change(r.name(), State.REMOVED, news);
+            removedDirectories.add(session.disk);
+            changeState(command.name(), State.REMOVED, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome serves(Entry.Serves s, Collection<News> news) {
-        Session old = byName.get(s.name());
-        if (!live(s.name(), s.incarnation())) {
+    Outcome serves(Entry.Serves command, Collection<News> events) {
+        Session previous = byName.get(command.name());
+        if (!live(command.name(), command.incarnation())) {
             return Outcome.refused("no such life");
         }
         byName.put(
-                old.name,
+                previous.name,
                 new Session(
-                        old.name,
-                        old.site,
-                        old.disk,
-                        old.vote,
-                        old.nonce,
-                        old.reads,
-                        old.offers,
-                        old.incarnation,
-                        old.state,
-                        List.copyOf(s.functions())));
-        news.add(new News.Changed(byName.get(old.name), old.state));
+                        previous.name,
+                        previous.site,
+                        previous.disk,
+                        previous.vote,
+                        previous.nonce,
+                        previous.reads,
+                        previous.offers,
+                        previous.incarnation,
+                        previous.state,
+                        List.copyOf(command.functions())));
+        events.add(new News.SessionChanged(byName.get(previous.name), previous.state));
         return Outcome.DONE;
     }
 
-    private void change(String name, State to, Collection<News> news) {
-        Session old = byName.get(name);
-        if (old.state != to) {
-            byName.put(name, old.in(to));
-            news.add(new News.Changed(old.in(to), old.state));
+    private void changeState(String name, State next, Collection<News> events) {
+        Session previous = byName.get(name);
+        if (previous.state != next) {
+            byName.put(name, previous.withState(next));
+            events.add(new News.SessionChanged(previous.withState(next), previous.state));
         }
     }
 
     /** What a snapshot keeps of it. */
-    public record Image(List<Session> sessions, List<String> removed, long incarnations, int format) {}
+    public record Snapshot(List<Session> sessions, List<String> removedDirectories, long lastIncarnation, int format) {}
 
-    Image image() {
-        return new Image(new ArrayList<>(byName.values()), new ArrayList<>(removed), incarnations, format);
+    Snapshot snapshot() {
+        return new Snapshot(
+                new ArrayList<>(byName.values()), new ArrayList<>(removedDirectories), lastIncarnation, format);
     }
 
-    static Sessions of(Image image) {
-        Sessions s = new Sessions();
-        image.sessions.forEach(x -> s.byName.put(x.name, x));
-        s.removed.addAll(image.removed);
-        s.incarnations = image.incarnations;
-        s.format = image.format;
-        return s;
+    static Sessions fromSnapshot(Snapshot snapshot) {
+        Sessions restored = new Sessions();
+        snapshot.sessions.forEach(session -> restored.byName.put(session.name, session));
+        restored.removedDirectories.addAll(snapshot.removedDirectories);
+        restored.lastIncarnation = snapshot.lastIncarnation;
+        restored.format = snapshot.format;
+        return restored;
     }
 }
--- a/src/main/java/plumpost/peers/Fleet.java
+++ b/src/main/java/plumpost/peers/Fleet.java
@@ -15,9 +15,9 @@
      *
      * @param id the handle that its client was given
      * @param atMs Unix milliseconds
-     * @param again whether it may run twice
+     * @param repeatable whether it may run twice
      */
-    record Job(String id, String function, String unique, byte[] body, double atMs, boolean again) {}
+    record Job(String id, String function, String unique, byte[] body, double atMs, boolean repeatable) {}
 
     /** What became of a wish: agreed on, refused by the fleet, or not known: there is no majority, or none in time. */
     record Said(boolean agreed, boolean known, String words) {}
@@ -27,9 +27,9 @@
         /**
          * A fleet that has not begun; bad input where the data directory is not this scheduler's.
          *
-         * @param loop has something run on the scheduler's loop
+         * @param loopExecutor has something run on the scheduler's loop
          */
-        Fleet make(PeersConfig config, Host host, LoopContext kit, Consumer<Runnable> loop);
+        Fleet make(PeersConfig config, Host host, LoopContext context, Consumer<Runnable> loopExecutor);
 
         /** Runs a command against a fleet that runs: show, yield or remove; the answer's lines, or bad input. */
         String call(PeersConfig config, String command, String argument);
@@ -39,16 +39,16 @@
     void begin();
 
     /** Takes a route node out by hand, or calls it back, for the whole fleet. */
-    void ban(String node, boolean out, Consumer<Said> then);
+    void ban(String node, boolean out, Consumer<Said> callback);
 
     /** Plans a job; agreed, the words are the id that it is known by, another's where its key is planned already. */
-    void plan(Job job, Consumer<Said> then);
+    void plan(Job job, Consumer<Said> callback);
 
     /** The ledger of covered orders, or null where the file covers none. */
     Ledger ledger();
 
     /** Calls a planned job off that nobody was told to run. */
-    void callOff(String id, Consumer<Said> then);
+    void callOff(String id, Consumer<Said> callback);
 
     /** The planned job of an id that is not over, as far as is known here, or null. */
     Job planned(String id);
--- a/src/main/java/plumpost/peers/Ledger.java
+++ b/src/main/java/plumpost/peers/Ledger.java
@@ -13,7 +13,7 @@
      *
      * @param id the handle that its client is given
      * @param patienceMs for how long whoever holds it tries
-     * @param again whether it may run twice
+     * @param repeatable whether it may run twice
      * @param background whether nobody waits for its answer
      */
     record Order(
@@ -23,7 +23,7 @@
             byte[] body,
             int priority,
             double patienceMs,
-            boolean again,
+            boolean repeatable,
             boolean background) {}
 
     /** Where an order stands, as far as is known here. */
@@ -88,7 +88,7 @@
     void at(Holder holder);
 
     /** Takes an order; agreed, the words are its handle, another's where its key is known already. */
-    void take(Order order, Consumer<Fleet.Said> then);
+    void take(Order order, Consumer<Fleet.Said> callback);
 
     /** The order of a handle, or null. */
     Known known(String id);
@@ -97,7 +97,7 @@
     Known known(String function, String unique);
 
     /** Asks for the right to hand an order out once; then says whether it was granted, or is another's or over. */
-    void lease(String id, Consumer<Boolean> then);
+    void lease(String id, Consumer<Boolean> callback);
 
     /** An attempt of an order that may run twice has ended without an answer: its holder tries again, under a new lease. */
     void tryAgain(String id);
--- a/src/main/java/plumpost/peers/Peers.java
+++ b/src/main/java/plumpost/peers/Peers.java
@@ -16,8 +16,8 @@
  * lib/fleet} beside the jar and are on no class path: while peers are off none of them is opened.
  */
 public final class Peers {
-    private static final String MAKER = "plumpost.fleet.engine.FleetMaker";
-    private static final String PART = "plumpost.fleet.";
+    private static final String MAKER_CLASS = "plumpost.fleet.engine.FleetMaker";
+    private static final String FLEET_PACKAGE = "plumpost.fleet.";
 
     private Peers() {}
 
@@ -30,42 +30,48 @@
                     .getLocation()
                     .toURI());
             Path libraries = jar.resolveSibling("lib").resolve("fleet");
-            ClassLoader from = Peers.class.getClassLoader();
+            ClassLoader loader = Peers.class.getClassLoader();
             if (Files.isRegularFile(jar) && Files.isDirectory(libraries)) {
-                from = new Loader(urls(jar, libraries), from);
+                loader = new FleetClassLoader(urls(jar, libraries), loader);
             }
-            return (Fleet.Maker) from.loadClass(MAKER).getDeclaredConstructor().newInstance();
-        } catch (ReflectiveOperationException | IOException | java.net.URISyntaxException | NoClassDefFoundError e) {
-            throw new BadInput("peers: the fleet's libraries in lib/fleet cannot be used: " + e);
+            return (Fleet.Maker)
+                    loader.loadClass(MAKER_CLASS).getDeclaredConstructor().newInstance();
+        } catch (ReflectiveOperationException
+                | IOException
+                | java.net.URISyntaxException
+                | NoClassDefFoundError failure) {
+            throw new BadInput("peers: the fleet's libraries in lib/fleet cannot be used: " + failure);
         }
     }
 
     private static URL[] urls(Path jar, Path libraries) throws IOException {
-        List<URL> all = new ArrayList<>();
-        all.add(jar.toUri().toURL());
+        List<URL> urls = new ArrayList<>();
+        urls.add(jar.toUri().toURL());
         try (DirectoryStream<Path> jars = Files.newDirectoryStream(libraries, "*.jar")) {
-            for (Path p : jars) {
-                all.add(url(p));
+            for (Path library : jars) {
+                urls.add(url(library));
             }
         }
-        return all.toArray(URL[]::new);
+        return urls.toArray(URL[]::new);
     }
 
-    private static URL url(Path p) throws MalformedURLException {
-        return p.toUri().toURL();
+    private static URL url(Path library) throws MalformedURLException {
+        return library.toUri().toURL();
     }
 
     /** Loads the fleet's part itself, since that must see the libraries; all else comes from the program. */
-    private static final class Loader extends URLClassLoader {
-        Loader(URL[] urls, ClassLoader program) {
-            super(urls, program);
+    private static final class FleetClassLoader extends URLClassLoader {
+        FleetClassLoader(URL[] urls, ClassLoader parent) {
+            super(urls, parent);
         }
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
             synchronized (getClassLoadingLock(name)) {
-                Class<?> known = findLoadedClass(name);
-                return known != null ? known : name.startsWith(PART) ? findClass(name) : super.loadClass(name, resolve);
+                Class<?> loaded = findLoadedClass(name);
+                return loaded != null
+                        ? loaded
+                        : name.startsWith(FLEET_PACKAGE) ? findClass(name) : super.loadClass(name, resolve);
             }
         }
     }
--- a/src/test/java/plumpost/fleet/FleetBookTest.java
+++ b/src/test/java/plumpost/fleet/FleetBookTest.java
@@ -17,11 +17,11 @@
 
 /** The fleet's book, its records' form, and the leader's ear. */
 class FleetBookTest {
-    private final FleetBook book = new FleetBook();
-    private final List<News> news = new ArrayList<>();
+    private final FleetBook state = new FleetBook();
+    private final List<News> events = new ArrayList<>();
 
-    private Outcome apply(Entry e) {
-        return book.apply(e, 7, news);
+    private Outcome apply(Entry entry) {
+        return state.apply(entry, 7, events);
     }
 
     private long join(String name, String site, String nonce) {
@@ -40,29 +40,29 @@
     }
 
     private String owner(String duty) {
-        return book.duties().of(duty).owner();
+        return state.duties().find(duty).owner();
     }
 
     /** Guards who gets what: the site's own first, then who has fewest; sticky, and every change under a higher fence. */
     @Test
-    void dutiesGoHomeAndStayAndAreLevelled() {
+    void dutiesPreferTheirSiteStayWithTheirOwnerAndAreBalanced() {
         long a = join("a", "north", "1");
         assertThat(owner("schedule") + owner("discovery/north") + owner("discovery/south"))
                 .isEqualTo("aaa");
-        long fence = book.duties().of("discovery/south").fence();
+        long fence = state.duties().find("discovery/south").fence();
         long b = join("b", "south", "1");
         assertThat(owner("discovery/south")).isEqualTo("b");
-        assertThat(book.duties().of("discovery/south").fence()).isGreaterThan(fence);
+        assertThat(state.duties().find("discovery/south").fence()).isGreaterThan(fence);
         join("c", "north", "1");
         assertThat(owner("schedule") + owner("discovery/north"))
                 .as("a gap of two moves one")
                 .contains("c")
                 .contains("a");
-        String before = book.duties().all().toString();
+        String before = state.duties().all().toString();
         join("d", "north", "1");
-        assertThat(book.duties().all().toString()).as("sticky").isEqualTo(before);
+        assertThat(state.duties().all().toString()).as("sticky").isEqualTo(before);
         apply(new Entry.Leave("b", b, false));
-        assertThat(book.sessions().live("b", b)).as("it finishes what it has").isTrue();
+        assertThat(state.sessions().live("b", b)).as("it finishes what it has").isTrue();
         assertThat(owner("discovery/south")).isEqualTo("d");
         assertThat(join("a", "north", "1")).as("the same process joins once").isEqualTo(a);
         assertThat(join("a", "north", "2")).isGreaterThan(a);
@@ -70,7 +70,7 @@
 
     /** Guards against a leader that was stopped: what it thinks of others under its old term is not believed. */
     @Test
-    void anOldLeaderIsNotBelieved() {
+    void verdictsOfAnOldTermAreRefused() {
         long a = join("a", "north", "1");
         assertThat(apply(new Entry.Judge("a", a, Verdict.LOST, 6)).done()).isFalse();
         assertThat(apply(new Entry.Judge("a", a, Verdict.SUSPECT, 7)).done()).isTrue();
@@ -84,33 +84,38 @@
 
     /** Guards the fences of all that an owner does inside the log, and the removal of a scheduler for good. */
     @Test
-    void oldFencesAndRemovedSchedulersAreRefused() {
+    void oldFencesAndRemovedDataDirectoriesAreRefused() {
         join("a", "north", "1");
         join("b", "north", "1");
-        Duties.Duty d = book.duties().of("discovery/north");
-        assertThat(apply(new Entry.Word(d.name(), d.fence(), 1, false, "x")).words())
+        Duties.Duty duty = state.duties().find("discovery/north");
+        assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 1, false, "x"))
+                        .words())
                 .contains("whole list");
-        assertThat(apply(new Entry.Word(d.name(), d.fence(), 1, true, "w")).done())
+        assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 1, true, "w"))
+                        .done())
                 .isTrue();
-        assertThat(apply(new Entry.Yield(d.name(), d.fence())).done()).isTrue();
-        assertThat(apply(new Entry.Word(d.name(), d.fence(), 2, true, "late")).words())
+        assertThat(apply(new Entry.Yield(duty.name(), duty.fence())).done()).isTrue();
+        assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 2, true, "late"))
+                        .words())
                 .contains("is old");
-        assertThat(apply(new Entry.Yield(d.name(), d.fence())).done()).isFalse();
-        assertThat(book.words(d.name())).extracting(Entry.Word::text).containsExactly("w");
+        assertThat(apply(new Entry.Yield(duty.name(), duty.fence())).done()).isFalse();
+        assertThat(state.discoveryReports(duty.name()))
+                .extracting(Entry.Word::text)
+                .containsExactly("w");
         apply(new Entry.Remove("a"));
         assertThat(apply(new Entry.Join("a", "north", "disk-a", true, "9", 1, List.of()))
                         .words())
                 .contains("removed");
         assertThat(apply(new Entry.Remove("z")).words()).contains("no scheduler z");
-        assertThat(news).filteredOn(n -> n instanceof News.Refused).hasSize(5);
+        assertThat(events).filteredOn(n -> n instanceof News.EntryRefused).hasSize(5);
     }
 
     /** Guards one run for one key, and what becomes of what a lost life had: told goes on, begun once is given up. */
     @Test
-    void plannedJobsGoOnOnceWhenTheirLifeIsLost() {
+    void plannedJobsOfALostSessionAreReassignedOrGivenUp() {
         long a = join("a", "north", "1");
         long b = join("b", "north", "1");
-        long fence = book.duties().of("schedule").fence();
+        long fence = state.duties().find("schedule").fence();
         for (String id : List.of("told", "begun", "again")) {
             apply(new Entry.Plan(id, "f", "key-" + id, new byte[3], 5, id.equals("again")));
             assertThat(apply(new Entry.Fire(id, fence, "a", a)).done()).isTrue();
@@ -122,11 +127,11 @@
         apply(new Entry.Begin("again", "a", a));
         assertThat(apply(new Entry.CallOff("begun")).done()).isFalse();
         apply(new Entry.Judge("a", a, Verdict.LOST, 7));
-        assertThat(book.plans().givenUp()).containsExactly("begun");
+        assertThat(state.plans().givenUp()).containsExactly("begun");
         assertThat(apply(new Entry.Begin("told", "a", a)).done())
                 .as("a lost life begins nothing")
                 .isFalse();
-        fence = book.duties().of("schedule").fence();
+        fence = state.duties().find("schedule").fence();
         assertThat(apply(new Entry.Fire("told", fence, "b", b)).done()).isTrue();
         assertThat(apply(new Entry.Begin("told", "b", b)).done()).isTrue();
         assertThat(apply(new Entry.Begin("told", "b", b)).done())
@@ -134,43 +139,43 @@
                 .isFalse();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isTrue();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isFalse();
-        assertThat(book.plans().all()).extracting(Plans.Job::id).containsExactly("again");
+        assertThat(state.plans().all()).extracting(Plans.Job::id).containsExactly("again");
     }
 
     /** Guards snapshots and records: both give back what went in, and what is newer or damaged is refused loudly. */
     @Test
-    void snapshotsAndRecordsAreReadBackOrRefused() throws Exception {
-        plannedJobsGoOnOnceWhenTheirLifeIsLost();
+    void snapshotsAndEntriesRoundTripAndNewerOrDamagedOnesAreRefused() throws Exception {
+        plannedJobsOfALostSessionAreReassignedOrGivenUp();
         apply(new Entry.Ban("n1", true));
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        FleetCodec.write(book, out);
+        ByteArrayOutputStream snapshot = new ByteArrayOutputStream();
+        FleetCodec.write(state, snapshot);
         FleetBook other = new FleetBook();
-        other.restore(FleetCodec.snapshot(new ByteArrayInputStream(out.toByteArray())));
-        ByteArrayOutputStream again = new ByteArrayOutputStream();
-        FleetCodec.write(other, again);
-        assertThat(again.toByteArray()).isEqualTo(out.toByteArray());
-        long fence = other.duties().of("schedule").fence();
-        other.apply(new Entry.Yield("schedule", fence), 7, news);
-        other.apply(new Entry.Join("n", "north", "d", true, "1", 1, List.of(new Offer("new", ""))), 7, news);
-        assertThat(other.duties().of("new").fence())
+        other.restore(FleetCodec.snapshot(new ByteArrayInputStream(snapshot.toByteArray())));
+        ByteArrayOutputStream secondSnapshot = new ByteArrayOutputStream();
+        FleetCodec.write(other, secondSnapshot);
+        assertThat(secondSnapshot.toByteArray()).isEqualTo(snapshot.toByteArray());
+        long fence = other.duties().find("schedule").fence();
+        other.apply(new Entry.Yield("schedule", fence), 7, events);
+        other.apply(new Entry.Join("n", "north", "d", true, "1", 1, List.of(new Offer("new", ""))), 7, events);
+        assertThat(other.duties().find("new").fence())
                 .as("no fence is used again")
                 .isGreaterThan(fence);
-        byte[] e = FleetCodec.bytes(new Entry.Ban("n1", true), 1);
-        assertThat(FleetCodec.entry(e)).isEqualTo(new Entry.Ban("n1", true));
-        byte[] newer = e.clone();
+        byte[] encoded = FleetCodec.bytes(new Entry.Ban("n1", true), 1);
+        assertThat(FleetCodec.entry(encoded)).isEqualTo(new Entry.Ban("n1", true));
+        byte[] newer = encoded.clone();
         newer[1] = 2;
         assertThatThrownBy(() -> FleetCodec.entry(newer)).hasMessageContaining("record format 2");
-        byte[] newerSnapshot = out.toByteArray();
+        byte[] newerSnapshot = snapshot.toByteArray();
         newerSnapshot[1] = 9;
         assertThatThrownBy(() -> FleetCodec.snapshot(new ByteArrayInputStream(newerSnapshot)))
                 .hasMessageContaining("format 9");
-        assertThatThrownBy(() -> FleetCodec.entry(Arrays.copyOf(e, e.length - 1)))
+        assertThatThrownBy(() -> FleetCodec.entry(Arrays.copyOf(encoded, encoded.length - 1)))
                 .isInstanceOf(FleetCodec.Unreadable.class);
     }
 
     /** Guards the record format: it is raised once all read it, never lowered, and then an older program stays out. */
     @Test
-    void theFormatIsRaisedOnceAllReadIt() {
+    void theFormatIsRaisedOnceEveryMemberReadsIt() {
         join("a", "north", "1");
         apply(new Entry.Join("b", "north", "disk-b", true, "1", 2, List.of()));
         assertThat(apply(new Entry.Raise(2)).words()).contains("not read by all, 1 is");
@@ -178,58 +183,58 @@
                 .number();
         assertThat(apply(new Entry.Raise(2)).done()).isTrue();
         apply(new Entry.Raise(1));
-        assertThat(book.sessions().format()).isEqualTo(2);
+        assertThat(state.sessions().format()).isEqualTo(2);
         assertThat(apply(new Entry.Join("c", "north", "disk-c", true, "1", 1, List.of()))
                         .words())
                 .contains("writes record format 2, the program of c reads 1 to 1");
-        assertThat(book.sessions().live("a", a)).isTrue();
+        assertThat(state.sessions().live("a", a)).isTrue();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        FleetCodec.write(book, out);
+        FleetCodec.write(state, out);
         assertThat(out.toByteArray()[1]).as("the snapshot's format").isEqualTo((byte) 2);
     }
 
     /** Guards the reader of the log: whatever bytes come, it gives an entry or says that they are none. */
     @Property(tries = 300)
-    void hostileBytesAreNoEntries(@ForAll byte[] noise, @ForAll int seed) {
+    void arbitraryBytesDecodeOrFailAsUnreadable(@ForAll byte[] randomBytes, @ForAll int seed) {
         Random random = new Random(seed);
-        byte[] spoilt = FleetCodec.bytes(new Entry.Plan("i", "f", "u", new byte[9], 1, true), 1);
+        byte[] corrupted = FleetCodec.bytes(new Entry.Plan("i", "f", "u", new byte[9], 1, true), 1);
         for (int n = random.nextInt(4); n >= 0; n--) {
-            spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
-        for (byte[] b : List.of(noise, spoilt)) {
+        for (byte[] bytes : List.of(randomBytes, corrupted)) {
             try {
-                assertThat(FleetCodec.entry(b)).isNotNull();
-            } catch (FleetCodec.Unreadable e) {
-                assertThat(e.getMessage()).isNotEmpty();
+                assertThat(FleetCodec.entry(bytes)).isNotNull();
+            } catch (FleetCodec.Unreadable failure) {
+                assertThat(failure.getMessage()).isNotEmpty();
             }
         }
     }
 
     /** Guards the leader's ear: new in office or stopped for a while, it calls nobody lost for what it did not hear. */
     @Test
-    void aLeaderThatWasStoppedCallsNobodyLost() {
+    void aLeaderThatWasSuspendedCountsSilenceAnew() {
         long a = join("a", "north", "1");
-        Beats beats = new Beats(1000, 1500, 500);
-        assertThat(beats.look(book.sessions().all(), 7, 50_000)).isEmpty();
+        Beats monitor = new Beats(1000, 1500, 500);
+        assertThat(monitor.look(state.sessions().all(), 7, 50_000)).isEmpty();
         for (double now = 50_100; now < 50_900; now += 100) {
-            assertThat(beats.look(book.sessions().all(), 7, now)).isEmpty();
+            assertThat(monitor.look(state.sessions().all(), 7, now)).isEmpty();
         }
-        beats.beat("a", a, 50_900, 0);
-        assertThat(beats.look(book.sessions().all(), 7, 51_000)).isEmpty();
-        assertThat(beats.look(book.sessions().all(), 7, 90_000))
+        monitor.beat("a", a, 50_900, 0);
+        assertThat(monitor.look(state.sessions().all(), 7, 51_000)).isEmpty();
+        assertThat(monitor.look(state.sessions().all(), 7, 90_000))
                 .as("stopped for 39 s")
                 .isEmpty();
-        List<Entry> said = new ArrayList<>();
-        for (double now = 90_100; now <= 91_500 && said.size() < 2; now += 100) {
-            said = beats.look(book.sessions().all(), 7, now);
-            said.forEach(this::apply);
-            said.stream()
+        List<Entry> proposals = new ArrayList<>();
+        for (double now = 90_100; now <= 91_500 && proposals.size() < 2; now += 100) {
+            proposals = monitor.look(state.sessions().all(), 7, now);
+            proposals.forEach(this::apply);
+            proposals.stream()
                     .filter(x -> ((Entry.Judge) x).verdict() == Verdict.LOST)
-                    .forEach(x -> assertThat(book.sessions().of("a").live()).isFalse());
+                    .forEach(x -> assertThat(state.sessions().of("a").live()).isFalse());
         }
-        assertThat(book.sessions().of("a").state()).isEqualTo(Sessions.State.LOST);
+        assertThat(state.sessions().of("a").state()).isEqualTo(Sessions.State.LOST);
         join("a", "north", "2");
-        assertThat(beats.look(book.sessions().all(), 7, 91_600))
+        assertThat(monitor.look(state.sessions().all(), 7, 91_600))
                 .as("a new life's time runs from when it is seen")
                 .isEmpty();
     }
