--- a/src/test/java/plumpost/fleet/FleetModel.java
+++ b/src/test/java/plumpost/fleet/FleetModel.java
@@ -20,7 +20,7 @@
  */
 final class FleetModel {
     /** How the schedulers or the book may be broken on purpose. */
-    enum Broken {
+    enum Fault {
         NOTHING,
         FENCE_NOT_CHECKED,
         LEASE_TRUSTED_ALONE,
@@ -32,336 +32,367 @@
     private static final String[] NAMES = {"a", "b", "c"};
     private static final String JOB = "job";
     private static final byte[] BODY = new byte[0];
-    private static final int SNAPSHOTS = 1;
-    private static final int UNDER_WAY = 1;
+    private static final int MAX_SNAPSHOTS = 1;
+    private static final int MAX_IN_FLIGHT = 1;
 
     /** An entry proposed by a scheduler, under the fence that it believed in. */
-    record Proposed(int by, Entry entry) {}
+    record Proposed(int scheduler, Entry entry) {}
 
     /** The whole system. What a scheduler sees: its life, its fence of the schedule, each job at itself. */
     static final class World {
-        FleetBook.Image book;
-        long[] life = new long[3];
-        long[] fence = new long[3];
-        State[] sees = new State[3];
-        boolean[] handed = new boolean[3];
+        FleetBook.Image state;
+        long[] incarnations = new long[3];
+        long[] fences = new long[3];
+        State[] observedStates = new State[3];
+        boolean[] handedOut = new boolean[3];
         int runs;
-        List<Proposed> under = new ArrayList<>();
+        List<Proposed> inFlight = new ArrayList<>();
         int losses;
         int crashes;
-        int doubts;
+        int suspicions;
         int snapshots;
-        String broken;
+        String violation;
 
         World copy() {
-            World w = new World();
-            w.book = book;
-            w.life = life.clone();
-            w.fence = fence.clone();
-            w.sees = sees.clone();
-            w.handed = handed.clone();
-            w.runs = runs;
-            w.under = new ArrayList<>(under);
-            w.losses = losses;
-            w.crashes = crashes;
-            w.doubts = doubts;
-            w.snapshots = snapshots;
-            return w;
+            World copy = new World();
+            copy.state = state;
+            copy.incarnations = incarnations.clone();
+            copy.fences = fences.clone();
+            copy.observedStates = observedStates.clone();
+            copy.handedOut = handedOut.clone();
+            copy.runs = runs;
+            copy.inFlight = new ArrayList<>(inFlight);
+            copy.losses = losses;
+            copy.crashes = crashes;
+            copy.suspicions = suspicions;
+            copy.snapshots = snapshots;
+            return copy;
         }
 
         String key() {
-            List<String> flying = new ArrayList<>();
-            under.forEach(p -> flying.add(p.toString()));
-            flying.sort(null);
-            return book.toString()
-                    + Arrays.toString(life)
-                    + Arrays.toString(fence)
-                    + Arrays.toString(sees)
-                    + Arrays.toString(handed)
+            List<String> proposals = new ArrayList<>();
+            inFlight.forEach(p -> proposals.add(p.toString()));
+            proposals.sort(null);
+            return state.toString()
+                    + Arrays.toString(incarnations)
+                    + Arrays.toString(fences)
+                    + Arrays.toString(observedStates)
+                    + Arrays.toString(handedOut)
                     + runs
-                    + flying
+                    + proposals
                     + losses
                     + crashes
-                    + doubts
+                    + suspicions
                     + snapshots;
         }
     }
 
-    private final Broken how;
-    private final boolean again;
-    private final int losses;
-    private final int crashes;
-    private final int doubts;
-    private final Set<String> seen = new HashSet<>();
-    private final ArrayDeque<World> next = new ArrayDeque<>();
+    private final Fault fault;
+    private final boolean repeatable;
+    private final int maxLosses;
+    private final int maxCrashes;
+    private final int maxSuspicions;
+    private final Set<String> visited = new HashSet<>();
+    private final ArrayDeque<World> frontier = new ArrayDeque<>();
     int moves;
-    String found;
+    String violation;
     final Set<String> reached = new HashSet<>();
 
     /** Explores with at most so many lives called lost, so many crashes and so many called late. */
-    FleetModel(Broken how, boolean again, int losses, int crashes, int doubts) {
-        this.doubts = doubts;
-        this.how = how;
-        this.again = again;
-        this.losses = losses;
-        this.crashes = crashes;
+    FleetModel(Fault fault, boolean repeatable, int maxLosses, int maxCrashes, int maxSuspicions) {
+        this.maxSuspicions = maxSuspicions;
+        this.fault = fault;
+        this.repeatable = repeatable;
+        this.maxLosses = maxLosses;
+        this.maxCrashes = maxCrashes;
     }
 
-    int states() {
-        return seen.size();
+    int stateCount() {
+        return visited.size();
     }
 
-    private static FleetBook book(World w) {
-        FleetBook b = new FleetBook();
-        b.restore(w.book);
-        return b;
+    private static FleetBook restoreState(World world) {
+        FleetBook restored = new FleetBook();
+        restored.restore(world.state);
+        return restored;
     }
 
     void explore() {
         World first = new World();
-        FleetBook b = new FleetBook();
-        for (int i = 0; i < 3; i++) {
-            first.life[i] = b.apply(join(i, 0), 1, new ArrayList<>()).number();
+        FleetBook initial = new FleetBook();
+        for (int scheduler = 0; scheduler < 3; scheduler++) {
+            first.incarnations[scheduler] =
+                    initial.apply(join(scheduler, 0), 1, new ArrayList<>()).number();
         }
-        b.apply(new Entry.Plan(JOB, "function", "", BODY, 0, again), 1, new ArrayList<>());
-        first.book = b.image();
-        add(first);
-        while (!next.isEmpty() && found == null) {
-            steps(next.poll());
+        initial.apply(new Entry.Plan(JOB, "function", "", BODY, 0, repeatable), 1, new ArrayList<>());
+        first.state = initial.image();
+        visit(first);
+        while (!frontier.isEmpty() && violation == null) {
+            expand(frontier.poll());
         }
     }
 
-    private static Entry.Join join(int i, int crash) {
+    private static Entry.Join join(int scheduler, int crash) {
         return new Entry.Join(
-                NAMES[i],
-                "s" + i,
-                "disk" + i,
+                NAMES[scheduler],
+                "s" + scheduler,
+                "disk" + scheduler,
                 true,
                 "n" + crash,
                 1,
                 List.of(new Offer("schedule", ""), new Offer("discovery/s0", "s0")));
     }
 
-    private void add(World w) {
+    private void visit(World world) {
         moves++;
-        if (w.broken != null && found == null) {
-            found = w.broken;
+        if (world.violation != null && violation == null) {
+            violation = world.violation;
         }
-        if (seen.add(w.key())) {
-            next.add(w);
+        if (visited.add(world.key())) {
+            frontier.add(world);
         }
     }
 
-    private void steps(World w) {
-        for (int i = 0; i < 3; i++) {
-            sees(w, i);
-            acts(w, i);
-            if (w.losses < losses && book(w).sessions().live(NAMES[i], w.life[i])) {
-                World n = w.copy();
-                n.losses++;
-                apply(n, new Proposed(-1, new Entry.Judge(NAMES[i], w.life[i], Entry.Verdict.LOST, 1)));
-                add(n);
+    private void expand(World world) {
+        for (int scheduler = 0; scheduler < 3; scheduler++) {
+            observe(world, scheduler);
+            act(world, scheduler);
+            if (world.losses < maxLosses
+                    && restoreState(world).sessions().live(NAMES[scheduler], world.incarnations[scheduler])) {
+                World next = world.copy();
+                next.losses++;
+                apply(
+                        next,
+                        new Proposed(
+                                -1,
+                                new Entry.Judge(
+                                        NAMES[scheduler], world.incarnations[scheduler], Entry.Verdict.LOST, 1)));
+                visit(next);
             }
             // One that is late gets nothing new, and what it has not begun may be given to another.
-            if (w.doubts < doubts && book(w).sessions().live(NAMES[i], w.life[i])) {
-                World n = w.copy();
-                n.doubts++;
-                apply(n, new Proposed(-1, new Entry.Judge(NAMES[i], w.life[i], Entry.Verdict.SUSPECT, 1)));
-                add(n);
+            if (world.suspicions < maxSuspicions
+                    && restoreState(world).sessions().live(NAMES[scheduler], world.incarnations[scheduler])) {
+                World next = world.copy();
+                next.suspicions++;
+                apply(
+                        next,
+                        new Proposed(
+                                -1,
+                                new Entry.Judge(
+                                        NAMES[scheduler], world.incarnations[scheduler], Entry.Verdict.SUSPECT, 1)));
+                visit(next);
             }
-            if (w.crashes < crashes) {
-                World n = w.copy();
-                n.crashes++;
-                forget(n, i);
-                n.life[i] = applied(n, join(i, n.crashes)).number();
-                add(n);
+            if (world.crashes < maxCrashes) {
+                World next = world.copy();
+                next.crashes++;
+                forget(next, scheduler);
+                next.incarnations[scheduler] =
+                        applyEntry(next, join(scheduler, next.crashes)).number();
+                visit(next);
             }
             // One that has seen that its life is over begins another: the process goes on, what it had is dropped.
-            if (w.life[i] > 0 && w.fence[i] < 0) {
-                World n = w.copy();
-                forget(n, i);
-                n.life[i] = applied(n, join(i, 0)).number();
-                add(n);
+            if (world.incarnations[scheduler] > 0 && world.fences[scheduler] < 0) {
+                World next = world.copy();
+                forget(next, scheduler);
+                next.incarnations[scheduler] =
+                        applyEntry(next, join(scheduler, 0)).number();
+                visit(next);
             }
         }
-        for (int p = 0; p < w.under.size(); p++) {
-            World n = w.copy();
-            apply(n, n.under.remove(p));
-            add(n);
-            World lost = w.copy();
-            lost.under.remove(p);
-            add(lost);
+        for (int index = 0; index < world.inFlight.size(); index++) {
+            World next = world.copy();
+            apply(next, next.inFlight.remove(index));
+            visit(next);
+            World lost = world.copy();
+            lost.inFlight.remove(index);
+            visit(lost);
         }
-        if (w.snapshots < SNAPSHOTS) {
-            World n = w.copy();
-            n.snapshots++;
-            if (how == Broken.FENCE_REUSED_AFTER_A_SNAPSHOT) {
-                long highest = n.book.duties().duties().stream()
+        if (world.snapshots < MAX_SNAPSHOTS) {
+            World next = world.copy();
+            next.snapshots++;
+            if (fault == Fault.FENCE_REUSED_AFTER_A_SNAPSHOT) {
+                long highest = next.state.duties().duties().stream()
                         .mapToLong(Duties.Duty::fence)
                         .max()
                         .orElse(0);
-                n.book = new FleetBook.Image(
-                        n.book.sessions(),
-                        new Duties.Image(n.book.duties().duties(), highest - 1),
-                        n.book.plans(),
-                        n.book.bans(),
-                        n.book.words(),
-                        n.book.orders());
+                next.state = new FleetBook.Image(
+                        next.state.sessions(),
+                        new Duties.Snapshot(next.state.duties().duties(), highest - 1),
+                        next.state.plannedJobs(),
+                        next.state.bans(),
+                        next.state.discoveryReports(),
+                        next.state.orders());
             }
-            add(n);
+            visit(next);
         }
     }
 
-    private static void forget(World n, int i) {
-        n.fence[i] = 0;
-        n.sees[i] = null;
-        n.handed[i] = false;
+    private static void forget(World next, int scheduler) {
+        next.fences[scheduler] = 0;
+        next.observedStates[scheduler] = null;
+        next.handedOut[scheduler] = false;
     }
 
     /** The scheduler's copy of the book catches up: it sees its duties and its jobs as they stand. */
-    private void sees(World w, int i) {
-        World n = w.copy();
-        FleetBook b = book(w);
-        Duties.Duty d = b.duties().of("schedule");
-        boolean live = b.sessions().live(NAMES[i], w.life[i]);
-        n.fence[i] = !live ? -1 : d.owner().equals(NAMES[i]) && d.incarnation() == w.life[i] ? d.fence() : 0;
-        Job job = b.plans().of(JOB);
-        n.sees[i] = job != null && job.target().equals(NAMES[i]) && job.incarnation() == w.life[i]
+    private void observe(World world, int scheduler) {
+        World next = world.copy();
+        FleetBook state = restoreState(world);
+        Duties.Duty duty = state.duties().find("schedule");
+        boolean live = state.sessions().live(NAMES[scheduler], world.incarnations[scheduler]);
+        next.fences[scheduler] = !live
+                ? -1
+                : duty.owner().equals(NAMES[scheduler]) && duty.incarnation() == world.incarnations[scheduler]
+                        ? duty.fence()
+                        : 0;
+        Job job = state.plans().find(JOB);
+        next.observedStates[scheduler] = job != null
+                        && job.target().equals(NAMES[scheduler])
+                        && job.incarnation() == world.incarnations[scheduler]
                 ? job.state()
-                : job != null && (job.state() == State.WAITING || Plans.stuck(job, b.sessions()))
+                : job != null && (job.state() == State.WAITING || Plans.isStalled(job, state.sessions()))
                         ? State.WAITING
                         : null;
-        add(n);
+        visit(next);
     }
 
     /** What it does by what it sees: fire what waits, begin what it was told, hand out what it has begun, record. */
-    private void acts(World w, int i) {
-        State at = w.sees[i];
-        if (w.fence[i] > 0 && at == State.WAITING) {
-            for (int t = 0; t < 3; t++) {
-                propose(w, i, new Entry.Fire(JOB, w.fence[i], NAMES[t], w.life[t]));
+    private void act(World world, int scheduler) {
+        State observed = world.observedStates[scheduler];
+        if (world.fences[scheduler] > 0 && observed == State.WAITING) {
+            for (int target = 0; target < 3; target++) {
+                propose(
+                        world,
+                        scheduler,
+                        new Entry.Fire(JOB, world.fences[scheduler], NAMES[target], world.incarnations[target]));
             }
-            if (how == Broken.LEASE_TRUSTED_ALONE) {
-                runs(w, i);
+            if (fault == Fault.LEASE_TRUSTED_ALONE) {
+                run(world, scheduler);
             }
-        } else if (at == State.FIRED) {
-            propose(w, i, new Entry.Begin(JOB, NAMES[i], w.life[i]));
-        } else if (at == State.BEGUN && !w.handed[i]) {
-            runs(w, i);
-        } else if (at == State.BEGUN) {
-            propose(w, i, new Entry.End(JOB, NAMES[i], w.life[i], false));
+        } else if (observed == State.FIRED) {
+            propose(world, scheduler, new Entry.Begin(JOB, NAMES[scheduler], world.incarnations[scheduler]));
+        } else if (observed == State.BEGUN && !world.handedOut[scheduler]) {
+            run(world, scheduler);
+        } else if (observed == State.BEGUN) {
+            propose(world, scheduler, new Entry.End(JOB, NAMES[scheduler], world.incarnations[scheduler], false));
         }
     }
 
-    private void runs(World w, int i) {
-        World n = w.copy();
-        n.handed[i] = true;
-        n.runs = Math.min(3, n.runs + 1);
-        check(n, again || n.runs <= 1, "an order ran twice");
-        add(n);
+    private void run(World world, int scheduler) {
+        World next = world.copy();
+        next.handedOut[scheduler] = true;
+        next.runs = Math.min(3, next.runs + 1);
+        check(next, repeatable || next.runs <= 1, "an order ran twice");
+        visit(next);
     }
 
-    private void propose(World w, int i, Entry e) {
-        if (w.under.size() < UNDER_WAY && w.under.stream().noneMatch(p -> p.entry.equals(e))) {
-            World n = w.copy();
-            n.under.add(new Proposed(i, e));
-            add(n);
+    private void propose(World world, int scheduler, Entry entry) {
+        if (world.inFlight.size() < MAX_IN_FLIGHT
+                && world.inFlight.stream().noneMatch(proposal -> proposal.entry.equals(entry))) {
+            World next = world.copy();
+            next.inFlight.add(new Proposed(scheduler, entry));
+            visit(next);
         }
     }
 
-    private Outcome applied(World n, Entry e) {
-        FleetBook b = book(n);
-        Outcome o = b.apply(e, 1, new ArrayList<>());
-        n.book = b.image();
-        return o;
+    private Outcome applyEntry(World next, Entry entry) {
+        FleetBook state = restoreState(next);
+        Outcome outcome = state.apply(entry, 1, new ArrayList<>());
+        next.state = state.image();
+        return outcome;
     }
 
-    private void apply(World n, Proposed p) {
-        FleetBook before = book(n);
-        Entry e = p.entry;
-        Duties.Duty d = before.duties().of("schedule");
-        if (how == Broken.FENCE_NOT_CHECKED && e instanceof Entry.Fire f) {
-            e = new Entry.Fire(f.id(), d.fence(), f.target(), f.incarnation());
+    private void apply(World next, Proposed proposal) {
+        FleetBook before = restoreState(next);
+        Entry entry = proposal.entry;
+        Duties.Duty duty = before.duties().find("schedule");
+        if (fault == Fault.FENCE_NOT_CHECKED && entry instanceof Entry.Fire fire) {
+            entry = new Entry.Fire(fire.id(), duty.fence(), fire.target(), fire.incarnation());
         }
-        Outcome o = applied(n, e);
-        FleetBook after = book(n);
-        if (o.done() && p.entry instanceof Entry.Fire f) {
+        Outcome outcome = applyEntry(next, entry);
+        FleetBook after = restoreState(next);
+        if (outcome.done() && proposal.entry instanceof Entry.Fire fire) {
             check(
-                    n,
-                    d.fence() == f.fence() && d.owner().equals(NAMES[p.by]),
-                    "a deed under fence " + f.fence() + " while " + d.fence() + " holds");
-            reached.add(before.plans().of(JOB).state() == State.FIRED ? "fired anew" : "fired");
-        } else if (!o.done() && p.entry instanceof Entry.Fire f && f.fence() != d.fence()) {
+                    next,
+                    duty.fence() == fire.fence() && duty.owner().equals(NAMES[proposal.scheduler]),
+                    "a deed under fence " + fire.fence() + " while " + duty.fence() + " holds");
+            reached.add(before.plans().find(JOB).state() == State.FIRED ? "fired anew" : "fired");
+        } else if (!outcome.done() && proposal.entry instanceof Entry.Fire fire && fire.fence() != duty.fence()) {
             reached.add("old fence refused");
         }
-        if (!o.done() && p.entry instanceof Entry.Begin) {
+        if (!outcome.done() && proposal.entry instanceof Entry.Begin) {
             reached.add("begin refused");
         }
-        if (how == Broken.BEGUN_ORDERS_FIRED_AGAIN && e instanceof Entry.Judge) {
-            n.book = new FleetBook.Image(
-                    n.book.sessions(),
-                    n.book.duties(),
-                    again(before, after),
-                    n.book.bans(),
-                    n.book.words(),
-                    n.book.orders());
+        if (fault == Fault.BEGUN_ORDERS_FIRED_AGAIN && entry instanceof Entry.Judge) {
+            next.state = new FleetBook.Image(
+                    next.state.sessions(),
+                    next.state.duties(),
+                    keepBegunOrderWaiting(before, after),
+                    next.state.bans(),
+                    next.state.discoveryReports(),
+                    next.state.orders());
         }
-        if (how == Broken.LOST_LIFE_NOT_SETTLED && e instanceof Entry.Judge) {
-            n.book = new FleetBook.Image(
-                    n.book.sessions(),
+        if (fault == Fault.LOST_LIFE_NOT_SETTLED && entry instanceof Entry.Judge) {
+            next.state = new FleetBook.Image(
+                    next.state.sessions(),
                     before.image().duties(),
-                    n.book.plans(),
-                    n.book.bans(),
-                    n.book.words(),
-                    n.book.orders());
-            after = book(n);
+                    next.state.plannedJobs(),
+                    next.state.bans(),
+                    next.state.discoveryReports(),
+                    next.state.orders());
+            after = restoreState(next);
         }
-        rules(n, before, after);
+        checkInvariants(next, before, after);
     }
 
     /** The plans after, with an order that was begun by the lost life waiting again in place of given up. */
-    private static Plans.Image again(FleetBook before, FleetBook after) {
+    private static Plans.Snapshot keepBegunOrderWaiting(FleetBook before, FleetBook after) {
         List<Job> jobs = new ArrayList<>(after.plans().all());
-        Job order = before.plans().of(JOB);
-        if (order != null && order.state() == State.BEGUN && after.plans().of(JOB) == null) {
-            jobs.add(order.in(State.WAITING, "", 0, 0));
+        Job order = before.plans().find(JOB);
+        if (order != null && order.state() == State.BEGUN && after.plans().find(JOB) == null) {
+            jobs.add(order.withState(State.WAITING, "", 0, 0));
         }
-        return new Plans.Image(jobs, after.plans().givenUp(), 0);
+        return new Plans.Snapshot(jobs, after.plans().givenUp(), 0);
     }
 
-    private void rules(World n, FleetBook before, FleetBook after) {
+    private void checkInvariants(World next, FleetBook before, FleetBook after) {
         Map<Long, String> owners = new HashMap<>();
-        for (Duties.Duty d : after.duties().all()) {
-            Duties.Duty old = before.duties().of(d.name());
-            check(n, d.fence() >= old.fence(), "a fence went back");
+        for (Duties.Duty duty : after.duties().all()) {
+            Duties.Duty previous = before.duties().find(duty.name());
+            check(next, duty.fence() >= previous.fence(), "a fence went back");
             check(
-                    n,
-                    d.owner().isEmpty() || after.sessions().live(d.owner(), d.incarnation()),
-                    "a lost life owns " + d.name());
+                    next,
+                    duty.owner().isEmpty() || after.sessions().live(duty.owner(), duty.incarnation()),
+                    "a lost life owns " + duty.name());
             check(
-                    n,
-                    d.fence() != old.fence()
-                            || d.owner().isEmpty()
-                            || d.owner().equals(old.owner()) && d.incarnation() == old.incarnation(),
+                    next,
+                    duty.fence() != previous.fence()
+                            || duty.owner().isEmpty()
+                            || duty.owner().equals(previous.owner()) && duty.incarnation() == previous.incarnation(),
                     "a fence was used twice");
-            check(n, d.owner().isEmpty() || owners.put(d.fence(), d.name()) == null, "a fence was used twice");
-            if (!d.owner().equals(old.owner())) {
+            check(
+                    next,
+                    duty.owner().isEmpty() || owners.put(duty.fence(), duty.name()) == null,
+                    "a fence was used twice");
+            if (!duty.owner().equals(previous.owner())) {
                 reached.add("owner changed");
             }
         }
-        Job job = after.plans().of(JOB);
+        Job job = after.plans().find(JOB);
         boolean givenUp = after.plans().givenUp().contains(JOB);
-        check(n, job != null || n.runs > 0 || !again && givenUp, "a job is lost");
-        check(n, again || job == null || job.state() == State.BEGUN || n.runs == 0, "an order that ran waits");
+        check(next, job != null || next.runs > 0 || !repeatable && givenUp, "a job is lost");
+        check(
+                next,
+                repeatable || job == null || job.state() == State.BEGUN || next.runs == 0,
+                "an order that ran waits");
         if (job == null && givenUp) {
             reached.add("given up");
         }
-        if (job != null && job.tries() > 1) {
+        if (job != null && job.attempts() > 1) {
             reached.add("begun anew");
         }
     }
 
-    private static void check(World w, boolean holds, String words) {
-        w.broken = w.broken == null && !holds ? words : w.broken;
+    private static void check(World world, boolean condition, String message) {
+        world.violation = world.violation == null && !condition ? message : world.violation;
     }
 }
--- a/src/test/java/plumpost/fleet/FleetModelTest.java
+++ b/src/test/java/plumpost/fleet/FleetModelTest.java
@@ -10,20 +10,20 @@
     /** Guards the rules over every pause, cut, crash and loss of a message that the bounds allow. */
     @ParameterizedTest
     @CsvSource({"false,1,1,0", "false,2,0,0", "true,1,0,0", "false,1,0,1"})
-    void noOrderOfEventsBreaksARule(boolean again, int losses, int crashes, int doubts) {
-        FleetModel m = new FleetModel(FleetModel.Broken.NOTHING, again, losses, crashes, doubts);
-        m.explore();
-        assertThat(m.found).isNull();
-        System.out.println("fleet model: " + m.states() + " states, " + m.moves + " moves");
-        assertThat(m.reached)
+    void noOrderOfEventsViolatesAnInvariant(boolean repeatable, int losses, int crashes, int suspicions) {
+        FleetModel model = new FleetModel(FleetModel.Fault.NOTHING, repeatable, losses, crashes, suspicions);
+        model.explore();
+        assertThat(model.violation).isNull();
+        System.out.println("fleet model: " + model.stateCount() + " states, " + model.moves + " moves");
+        assertThat(model.reached)
                 .contains(
                         "fired",
                         "old fence refused",
                         "begin refused",
                         "owner changed",
-                        again ? "begun anew" : "given up");
-        if (doubts > 0) {
-            assertThat(m.reached).contains("fired anew");
+                        repeatable ? "begun anew" : "given up");
+        if (suspicions > 0) {
+            assertThat(model.reached).contains("fired anew");
         }
     }
 
@@ -36,9 +36,9 @@
         "BEGUN_ORDERS_FIRED_AGAIN,an order that ran waits",
         "LOST_LIFE_NOT_SETTLED,a lost life owns"
     })
-    void eachBrokenVariantIsFound(FleetModel.Broken how, String rule) {
-        FleetModel m = new FleetModel(how, false, 1, 1, 0);
-        m.explore();
-        assertThat(m.found).startsWith(rule);
+    void eachInjectedFaultIsDetected(FleetModel.Fault fault, String violation) {
+        FleetModel model = new FleetModel(fault, false, 1, 1, 0);
+        model.explore();
+        assertThat(model.violation).startsWith(violation);
     }
 }
--- a/src/test/java/plumpost/fleet/FleetSim.java
+++ b/src/test/java/plumpost/fleet/FleetSim.java
@@ -22,33 +22,33 @@
  * drawn delay in one order and seen by each after a delay of its own. Members are stopped, cut off and killed. Seeded.
  */
 final class FleetSim {
-    private record Due(double atMs, long order, Runnable what) {}
+    private record ScheduledTask(double atMs, long sequence, Runnable action) {}
 
     /** One scheduler. */
-    final class One implements Host, FleetLog {
+    final class SimulatedMember implements Host, FleetLog {
         final int index;
         final Counters counters = new Counters();
         TimerWheel wheel;
-        final List<String> ran = new ArrayList<>();
+        final List<String> startedJobs = new ArrayList<>();
         Member member;
-        boolean stopped;
-        boolean cut;
-        boolean dead;
+        boolean suspended;
+        boolean disconnected;
+        boolean crashed;
         /** What it sees of the log comes so much later: its disk is slow. */
-        double slowMs;
+        double extraDelayMs;
 
-        private final ArrayDeque<Double> unseen = new ArrayDeque<>();
-        private double seenAt;
-        private final List<Runnable> held = new ArrayList<>();
+        private final ArrayDeque<Double> undelivered = new ArrayDeque<>();
+        private double lastDeliveryMs;
+        private final List<Runnable> heldBack = new ArrayList<>();
 
-        One(int index) {
+        SimulatedMember(int index) {
             this.index = index;
             begin(0);
         }
 
-        private void begin(int life) {
-            unseen.clear();
-            wheel = new TimerWheel(now); // the former process has ended with its timers
+        private void begin(int processNumber) {
+            undelivered.clear();
+            wheel = new TimerWheel(nowMs); // the former process has ended with its timers
             PeersConfig.Member self = config.members().get(index);
             member = new Member(
                     new PeersConfig(
@@ -62,93 +62,94 @@
                             config.snapshotEvery(),
                             false,
                             config.covered()),
-                    "n" + life,
+                    "n" + processNumber,
                     "disk" + index,
                     false,
                     this,
-                    () -> now,
-                    UnixTime.of(() -> now),
+                    () -> nowMs,
+                    UnixTime.of(() -> nowMs),
                     wheel,
                     counters,
                     w -> {});
             member.on(this);
             member.started();
-            member.restored(book.image());
+            member.restored(state.image());
             member.begin();
         }
 
         /** Something comes to this process: while it is stopped or cut off it waits, to a dead one it never comes. */
-        void deliver(double afterMs, Runnable what) {
-            Member mine = member;
-            seenAt = Math.max(seenAt, now + afterMs + slowMs); // what one process sees comes in order
-            unseen.add(now);
-            at(seenAt, () -> {
-                if (mine == member) {
-                    unseen.poll();
+        void deliver(double delayMs, Runnable action) {
+            Member process = member;
+            lastDeliveryMs =
+                    Math.max(lastDeliveryMs, nowMs + delayMs + extraDelayMs); // what one process sees comes in order
+            undelivered.add(nowMs);
+            schedule(lastDeliveryMs, () -> {
+                if (process == member) {
+                    undelivered.poll();
                 }
-                if (mine == member && !dead) {
-                    if (stopped || cut) {
-                        held.add(what);
+                if (process == member && !crashed) {
+                    if (suspended || disconnected) {
+                        heldBack.add(action);
                     } else {
-                        what.run();
+                        action.run();
                     }
                 }
             });
         }
 
-        void wake() {
-            stopped = false;
-            cut = false;
-            List<Runnable> late = List.copyOf(held);
-            held.clear();
-            late.forEach(Runnable::run);
+        void resume() {
+            suspended = false;
+            disconnected = false;
+            List<Runnable> pending = List.copyOf(heldBack);
+            heldBack.clear();
+            pending.forEach(Runnable::run);
         }
 
-        void restart(int life) {
-            dead = false;
-            stopped = false;
-            cut = false;
-            held.clear();
-            begin(life);
+        void restart(int processNumber) {
+            crashed = false;
+            suspended = false;
+            disconnected = false;
+            heldBack.clear();
+            begin(processNumber);
         }
 
         @Override
-        public void propose(Entry e, Consumer<Outcome> then) {
-            Member mine = member;
-            if (cut) {
-                at(now + 2000, () -> {
-                    if (mine == member) {
-                        then.accept(null); // as the engine does when nobody has answered for long
+        public void propose(Entry entry, Consumer<Outcome> callback) {
+            Member process = member;
+            if (disconnected) {
+                schedule(nowMs + 2000, () -> {
+                    if (process == member) {
+                        callback.accept(null); // as the engine does when nobody has answered for long
                     }
                 });
                 return;
             }
             entries++;
-            at(now + delay(), () -> {
-                Outcome o = apply(e);
-                if (mine == member) {
-                    deliver(delay(), () -> then.accept(o));
+            schedule(nowMs + drawDelayMs(), () -> {
+                Outcome outcome = apply(entry);
+                if (process == member) {
+                    deliver(drawDelayMs(), () -> callback.accept(outcome));
                 }
             });
         }
 
         @Override
-        public void beat(String name, long incarnation, double deafMs, Consumer<Boolean> then) {
-            beats++;
-            if (cut) {
-                propose(null, o -> then.accept(null));
+        public void beat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback) {
+            heartbeats++;
+            if (disconnected) {
+                propose(null, outcome -> callback.accept(null));
             } else {
-                at(now + delay(), () -> {
-                    ear.beat(name, incarnation, now, behindMs());
-                    boolean live = book.sessions().live(name, incarnation);
-                    deliver(delay(), () -> then.accept(live));
+                schedule(nowMs + drawDelayMs(), () -> {
+                    monitor.beat(name, incarnation, nowMs, behindMs());
+                    boolean live = state.sessions().live(name, incarnation);
+                    deliver(drawDelayMs(), () -> callback.accept(live));
                 });
             }
         }
 
         @Override
         public double behindMs() {
-            return unseen.isEmpty() ? 0 : Math.max(0, now - unseen.peek() - 50);
+            return undelivered.isEmpty() ? 0 : Math.max(0, nowMs - undelivered.peek() - 50);
         }
 
         @Override
@@ -169,11 +170,11 @@
 
         @Override
         public boolean run(Fleet.Job job) {
-            ran.add(job.id());
-            runs.merge(job.id(), 1, Integer::sum);
-            Member mine = member;
-            at(now + 5, () -> {
-                if (mine == member && !dead && !stopped) {
+            startedJobs.add(job.id());
+            runCounts.merge(job.id(), 1, Integer::sum);
+            Member process = member;
+            schedule(nowMs + 5, () -> {
+                if (process == member && !crashed && !suspended) {
                     member.ended(job.id(), false);
                 }
             });
@@ -196,71 +197,81 @@
     }
 
     final Random random;
-    final FleetBook book = new FleetBook();
-    final Beats ear = new Beats(1000, 1500, 500);
-    final List<One> all = new ArrayList<>();
-    final Map<String, Integer> runs = new HashMap<>();
-    final List<String> broken = new ArrayList<>();
+    final FleetBook state = new FleetBook();
+    final Beats monitor = new Beats(1000, 1500, 500);
+    final List<SimulatedMember> members = new ArrayList<>();
+    final Map<String, Integer> runCounts = new HashMap<>();
+    final List<String> violations = new ArrayList<>();
     private final PeersConfig config;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
-    double now = 1_000_000;
-    long beats;
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.sequence, b.sequence));
+    double nowMs = 1_000_000;
+    long heartbeats;
     long entries;
-    private long order;
+    private long nextSequence;
 
-    FleetSim(int n, long seed) {
+    FleetSim(int memberCount, long seed) {
         random = new Random(seed);
-        List<PeersConfig.Member> members = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            members.add(new PeersConfig.Member("s" + i, new InetSocketAddress("127.0.0.1", 1), "site" + i % 3, i < 3));
+        List<PeersConfig.Member> memberConfigs = new ArrayList<>();
+        for (int i = 0; i < memberCount; i++) {
+            memberConfigs.add(
+                    new PeersConfig.Member("s" + i, new InetSocketAddress("127.0.0.1", 1), "site" + i % 3, i < 3));
         }
         config = new PeersConfig(
-                "sim", null, members.get(0), members, 250, 1500, 5000, 1000, false, PeersConfig.Covered.NONE);
-        ear.lead(now);
-        for (int i = 0; i < n; i++) {
-            all.add(new One(i));
+                "sim",
+                null,
+                memberConfigs.get(0),
+                memberConfigs,
+                250,
+                1500,
+                5000,
+                1000,
+                false,
+                PeersConfig.Covered.NONE);
+        monitor.lead(nowMs);
+        for (int i = 0; i < memberCount; i++) {
+            members.add(new SimulatedMember(i));
         }
-        look();
+        checkHeartbeats();
     }
 
-    private double delay() {
+    private double drawDelayMs() {
         return 1 + random.nextInt(20);
     }
 
-    private void at(double ms, Runnable what) {
-        queue.add(new Due(ms, order++, what));
+    private void schedule(double atMs, Runnable action) {
+        queue.add(new ScheduledTask(atMs, nextSequence++, action));
     }
 
-    private void look() {
-        ear.look(book.sessions().all(), 1, now).forEach(this::apply);
-        at(now + 100, this::look);
+    private void checkHeartbeats() {
+        monitor.look(state.sessions().all(), 1, nowMs).forEach(this::apply);
+        schedule(nowMs + 100, this::checkHeartbeats);
     }
 
-    private Outcome apply(Entry e) {
-        Duties.Duty before = book.duties().of(FleetBook.SCHEDULE);
-        List<News> news = new ArrayList<>();
-        Outcome o = book.apply(e, 1, news);
-        Duties.Duty after = book.duties().of(FleetBook.SCHEDULE);
+    private Outcome apply(Entry entry) {
+        Duties.Duty before = state.duties().find(FleetBook.SCHEDULE);
+        List<News> events = new ArrayList<>();
+        Outcome outcome = state.apply(entry, 1, events);
+        Duties.Duty after = state.duties().find(FleetBook.SCHEDULE);
         if (before != null && after.fence() < before.fence()) {
-            broken.add("a fence went back");
+            violations.add("a fence went back");
         }
-        if (e instanceof Entry.Fire f && o.done() && f.fence() != before.fence()) {
-            broken.add("an old fence counted");
+        if (entry instanceof Entry.Fire fire && outcome.done() && fire.fence() != before.fence()) {
+            violations.add("an old fence counted");
         }
-        all.forEach(m -> m.deliver(delay(), () -> m.member.applied(e, 1)));
-        return o;
+        members.forEach(m -> m.deliver(drawDelayMs(), () -> m.member.applied(entry, 1)));
+        return outcome;
     }
 
     /** Lets virtual time pass. */
-    void pass(double ms) {
-        for (double end = now + ms; now < end; now += TimerWheel.TICK_MS) {
-            while (!queue.isEmpty() && queue.peek().atMs <= now) {
-                queue.poll().what.run();
+    void advance(double durationMs) {
+        for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs += TimerWheel.TICK_MS) {
+            while (!queue.isEmpty() && queue.peek().atMs <= nowMs) {
+                queue.poll().action.run();
             }
-            for (One o : all) {
-                if (!o.stopped && !o.dead) {
-                    o.wheel.turnTo(now);
+            for (SimulatedMember member : members) {
+                if (!member.suspended && !member.crashed) {
+                    member.wheel.turnTo(nowMs);
                 }
             }
         }
--- a/src/test/java/plumpost/fleet/OrdersModel.java
+++ b/src/test/java/plumpost/fleet/OrdersModel.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import plumpost.durable.OrderLife.Event;
 import plumpost.durable.OrderLife.State;
-import plumpost.fleet.Entry.By;
 import plumpost.fleet.Entry.Offer;
+import plumpost.fleet.Entry.SessionId;
 import plumpost.fleet.Orders.Order;
 
 /**
@@ -20,7 +20,7 @@
  */
 final class OrdersModel {
     /** How the schedulers or the ledger may be broken on purpose. */
-    enum Broken {
+    enum Fault {
         NOTHING,
         HANDED_OUT_WHEN_ASKED,
         LEASED_IS_FREE_WHEN_LOST,
@@ -30,330 +30,374 @@
     }
 
     private static final String[] NAMES = {"a", "b", "c"};
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     /** The right to hand an order out, under a lease, that a scheduler remembers. */
-    private record Right(int by, int order, int lease) {}
+    private record Lease(int scheduler, int order, int number) {}
 
     private static final class World {
-        FleetBook.Image book;
+        FleetBook.Image state;
         /** The incarnations of each scheduler's lives, the present one last. */
-        List<List<Long>> lives = new ArrayList<>();
+        List<List<Long>> incarnations = new ArrayList<>();
 
-        List<Right> rights = new ArrayList<>();
+        List<Lease> leases = new ArrayList<>();
         /** Leases that their scheduler gives back unused, and has not been heard yet. */
-        List<Right> back = new ArrayList<>();
+        List<Lease> returnedLeases = new ArrayList<>();
         /** Leases under which a worker has run the order and has told nobody yet. */
-        List<Right> untold = new ArrayList<>();
+        List<Lease> unreportedRuns = new ArrayList<>();
 
         int[] runs;
         int losses;
         int crashes;
-        String broken;
+        String violation;
 
         World copy() {
-            World w = new World();
-            w.book = book;
-            lives.forEach(l -> w.lives.add(new ArrayList<>(l)));
-            w.rights = new ArrayList<>(rights);
-            w.back = new ArrayList<>(back);
-            w.untold = new ArrayList<>(untold);
-            w.runs = runs.clone();
-            w.losses = losses;
-            w.crashes = crashes;
-            return w;
+            World copy = new World();
+            copy.state = state;
+            incarnations.forEach(l -> copy.incarnations.add(new ArrayList<>(l)));
+            copy.leases = new ArrayList<>(leases);
+            copy.returnedLeases = new ArrayList<>(returnedLeases);
+            copy.unreportedRuns = new ArrayList<>(unreportedRuns);
+            copy.runs = runs.clone();
+            copy.losses = losses;
+            copy.crashes = crashes;
+            return copy;
         }
 
         String key() {
-            StringBuilder k = new StringBuilder();
-            book.orders()
+            StringBuilder key = new StringBuilder();
+            state.orders()
                     .orders()
-                    .forEach(o -> k.append(o.state().ordinal())
+                    .forEach(o -> key.append(o.state().ordinal())
                             .append(o.holder())
                             .append(o.incarnation())
                             .append('/')
                             .append(o.lease())
                             .append(' '));
-            book.sessions()
+            state.sessions()
                     .sessions()
-                    .forEach(x -> k.append(x.incarnation())
+                    .forEach(x -> key.append(x.incarnation())
                             .append(x.state().ordinal())
                             .append(' '));
-            book.duties()
+            state.duties()
                     .duties()
-                    .forEach(d -> k.append(d.owner()).append(d.fence()).append(' '));
-            for (List<Right> l : List.of(rights, back, untold)) {
-                l.stream()
-                        .map(r -> r.by + "." + r.order + "." + r.lease + " ")
+                    .forEach(d -> key.append(d.owner()).append(d.fence()).append(' '));
+            for (List<Lease> list : List.of(leases, returnedLeases, unreportedRuns)) {
+                list.stream()
+                        .map(runCount -> runCount.scheduler + "." + runCount.order + "." + runCount.number + " ")
                         .sorted()
-                        .forEach(k::append);
-                k.append('|');
+                        .forEach(key::append);
+                key.append('|');
             }
-            for (int r : runs) {
-                k.append(r);
+            for (int runCount : runs) {
+                key.append(runCount);
             }
-            return k.append(losses).append(crashes).toString();
+            return key.append(losses).append(crashes).toString();
         }
     }
 
-    private final Broken how;
-    private final boolean again;
-    private final int orders;
-    private final int losses;
-    private final int crashes;
-    private final int leases;
-    private final Set<String> seen = new HashSet<>();
-    private final ArrayDeque<World> next = new ArrayDeque<>();
+    private final Fault fault;
+    private final boolean repeatable;
+    private final int orderCount;
+    private final int maxLosses;
+    private final int maxCrashes;
+    private final int maxLeases;
+    private final Set<String> visited = new HashSet<>();
+    private final ArrayDeque<World> frontier = new ArrayDeque<>();
     int moves;
-    String found;
+    String violation;
     final Set<String> reached = new HashSet<>();
 
     /** Explores with at most so many lives called lost, crashes, and leases an order. */
-    OrdersModel(Broken how, boolean again, int orders, int losses, int crashes, int leases) {
-        this.how = how;
-        this.again = again;
-        this.orders = orders;
-        this.losses = losses;
-        this.crashes = crashes;
-        this.leases = leases;
+    OrdersModel(Fault fault, boolean repeatable, int orderCount, int maxLosses, int maxCrashes, int maxLeases) {
+        this.fault = fault;
+        this.repeatable = repeatable;
+        this.orderCount = orderCount;
+        this.maxLosses = maxLosses;
+        this.maxCrashes = maxCrashes;
+        this.maxLeases = maxLeases;
     }
 
-    int states() {
-        return seen.size();
+    int stateCount() {
+        return visited.size();
     }
 
-    private static FleetBook book(World w) {
-        FleetBook b = new FleetBook();
-        b.restore(w.book);
-        return b;
+    private static FleetBook restoreState(World world) {
+        FleetBook restored = new FleetBook();
+        restored.restore(world.state);
+        return restored;
     }
 
-    private static String id(int o) {
-        return "o" + o;
+    private static String id(int index) {
+        return "o" + index;
     }
 
     void explore() {
-        World w = new World();
-        FleetBook b = new FleetBook();
-        for (int i = 0; i < NAMES.length; i++) {
-            w.lives.add(new ArrayList<>(
-                    List.of(b.apply(join(i, 0), 1, new ArrayList<>()).number())));
+        World world = new World();
+        FleetBook initial = new FleetBook();
+        for (int scheduler = 0; scheduler < NAMES.length; scheduler++) {
+            world.incarnations.add(new ArrayList<>(List.of(
+                    initial.apply(join(scheduler, 0), 1, new ArrayList<>()).number())));
         }
-        for (int o = 0; o < orders; o++) {
-            b.apply(
+        for (int index = 0; index < orderCount; index++) {
+            initial.apply(
                     new Entry.Take(
-                            new By(NAMES[o], w.lives.get(o).get(0)),
-                            id(o),
+                            new SessionId(
+                                    NAMES[index], world.incarnations.get(index).get(0)),
+                            id(index),
                             "f",
-                            "k" + o,
-                            NOTHING,
+                            "k" + index,
+                            EMPTY,
                             0,
                             1000,
-                            again,
+                            repeatable,
                             true),
                     1,
                     new ArrayList<>());
         }
-        w.runs = new int[orders];
-        w.book = b.image();
-        add(w);
-        while (!next.isEmpty() && found == null) {
-            steps(next.poll());
+        world.runs = new int[orderCount];
+        world.state = initial.image();
+        visit(world);
+        while (!frontier.isEmpty() && violation == null) {
+            expand(frontier.poll());
         }
     }
 
-    private static Entry.Join join(int i, int life) {
-        return new Entry.Join(NAMES[i], "", "disk" + i, true, "n" + life, 1, List.of(new Offer(FleetBook.LEDGER, "")));
+    private static Entry.Join join(int scheduler, int processNumber) {
+        return new Entry.Join(
+                NAMES[scheduler],
+                "",
+                "disk" + scheduler,
+                true,
+                "n" + processNumber,
+                1,
+                List.of(new Offer(FleetBook.LEDGER, "")));
     }
 
-    private void add(World w) {
+    private void visit(World world) {
         moves++;
-        if (w.broken != null && found == null) {
-            found = w.broken;
+        if (world.violation != null && violation == null) {
+            violation = world.violation;
         }
-        if (seen.add(w.key())) {
-            next.add(w);
+        if (visited.add(world.key())) {
+            frontier.add(world);
         }
     }
 
-    private void steps(World w) {
-        FleetBook b = book(w);
-        for (int i = 0; i < NAMES.length; i++) {
-            for (long life : w.lives.get(i)) {
-                for (int o = 0; o < orders; o++) {
-                    says(w, b, i, life, o);
+    private void expand(World world) {
+        FleetBook state = restoreState(world);
+        for (int scheduler = 0; scheduler < NAMES.length; scheduler++) {
+            for (long incarnation : world.incarnations.get(scheduler)) {
+                for (int index = 0; index < orderCount; index++) {
+                    proposeAll(world, state, scheduler, incarnation, index);
                 }
             }
-            long now = w.lives.get(i).get(w.lives.get(i).size() - 1);
-            boolean live = b.sessions().live(NAMES[i], now);
-            if (w.losses < losses && live) {
-                World n = w.copy();
-                n.losses++;
-                apply(n, new Entry.Judge(NAMES[i], now, Entry.Verdict.LOST, 1), -1);
-                add(n);
+            long incarnation = world.incarnations
+                    .get(scheduler)
+                    .get(world.incarnations.get(scheduler).size() - 1);
+            boolean live = state.sessions().live(NAMES[scheduler], incarnation);
+            if (world.losses < maxLosses && live) {
+                World next = world.copy();
+                next.losses++;
+                apply(next, new Entry.Judge(NAMES[scheduler], incarnation, Entry.Verdict.LOST, 1), -1);
+                visit(next);
             }
             if (!live
-                    || w.crashes
-                            < crashes) { // one that was called lost may go on with what it remembers, or begin anew
-                World n = w.copy();
-                int who = i;
-                n.crashes += live ? 1 : 0;
+                    || world.crashes
+                            < maxCrashes) { // one that was called lost may go on with what it remembers, or begin anew
+                World next = world.copy();
+                int crashed = scheduler;
+                next.crashes += live ? 1 : 0;
                 if (live) {
-                    n.rights.removeIf(r -> r.by == who);
+                    next.leases.removeIf(lease -> lease.scheduler == crashed);
                 }
-                n.lives.get(i).add(apply(n, join(i, n.lives.get(i).size()), -1).number());
-                add(n);
+                next.incarnations
+                        .get(scheduler)
+                        .add(apply(
+                                        next,
+                                        join(
+                                                scheduler,
+                                                next.incarnations.get(scheduler).size()),
+                                        -1)
+                                .number());
+                visit(next);
             }
         }
-        for (Right r : w.rights) {
-            World n = w.copy();
-            n.rights.remove(r);
-            runs(n, r);
-            World unused = w.copy();
-            unused.rights.remove(r);
-            if (!unused.back.contains(r)) {
-                unused.back.add(r);
+        for (Lease lease : world.leases) {
+            World next = world.copy();
+            next.leases.remove(lease);
+            run(next, lease);
+            World unused = world.copy();
+            unused.leases.remove(lease);
+            if (!unused.returnedLeases.contains(lease)) {
+                unused.returnedLeases.add(lease);
             }
-            add(unused);
+            visit(unused);
         }
-        for (Right r : w.back) {
-            told(w.copy(), r.by, r, Event.HANDED_BACK); // and it may come again, since who proposed it heard no answer
+        for (Lease lease : world.returnedLeases) {
+            report(
+                    world.copy(),
+                    lease.scheduler,
+                    lease,
+                    Event.HANDED_BACK); // and it may come again, since who proposed it heard no answer
         }
-        for (Right r : w.untold) {
-            for (int i = 0; i < NAMES.length; i++) { // its worker reports, wherever it now is
-                World n = w.copy();
-                n.untold.remove(r);
-                told(n, i, r, Event.DONE);
+        for (Lease lease : world.unreportedRuns) {
+            for (int scheduler = 0; scheduler < NAMES.length; scheduler++) { // its worker reports, wherever it now is
+                World next = world.copy();
+                next.unreportedRuns.remove(lease);
+                report(next, scheduler, lease, Event.DONE);
             }
         }
-        for (Duties.Duty d : b.duties().all()) {
-            for (long fence = Math.max(1, d.fence() - 1);
-                    fence <= d.fence();
+        for (Duties.Duty duty : state.duties().all()) {
+            for (long fence = Math.max(1, duty.fence() - 1);
+                    fence <= duty.fence();
                     fence++) { // the owner, and the one before
-                World n = w.copy();
-                apply(n, new Entry.Settle(fence, List.of(id(0), id(orders - 1)), List.of()), -1);
-                add(n);
+                World next = world.copy();
+                apply(next, new Entry.Settle(fence, List.of(id(0), id(orderCount - 1)), List.of()), -1);
+                visit(next);
             }
         }
     }
 
     /** What a life may propose of an order, as far back as its view may be. */
-    private void says(World w, FleetBook b, int i, long life, int o) {
-        By me = new By(NAMES[i], life);
-        Order order = b.orders().of(id(o));
-        for (Entry e : List.of(new Entry.Claim(me, List.of(id(o))), new Entry.Release(me, List.of(id(o))))) {
-            World n = w.copy();
-            apply(n, e, -1);
-            add(n);
+    private void proposeAll(World world, FleetBook state, int scheduler, long incarnation, int index) {
+        SessionId session = new SessionId(NAMES[scheduler], incarnation);
+        Order order = state.orders().find(id(index));
+        for (Entry entry :
+                List.of(new Entry.Claim(session, List.of(id(index))), new Entry.Release(session, List.of(id(index))))) {
+            World next = world.copy();
+            apply(next, entry, -1);
+            visit(next);
         }
-        for (int lease = Math.max(0, order.lease() - 1); lease <= order.lease() && order.lease() < leases; lease++) {
-            World n = w.copy();
-            apply(n, new Entry.Told(me, id(o), Event.LEASE, lease, NOTHING), i);
-            add(n);
+        for (int lease = Math.max(0, order.lease() - 1); lease <= order.lease() && order.lease() < maxLeases; lease++) {
+            World next = world.copy();
+            apply(next, new Entry.Told(session, id(index), Event.LEASE, lease, EMPTY), scheduler);
+            visit(next);
         }
-        if (order.heldBy(me)
+        if (order.isHeldBy(session)
                 && order.state() == State.LEASED
-                && w.rights.stream().noneMatch(r -> r.order == o)) {
-            World n = w.copy();
-            told(n, i, new Right(i, o, order.lease()), Event.STALL);
+                && world.leases.stream().noneMatch(lease -> lease.order == index)) {
+            World next = world.copy();
+            report(next, scheduler, new Lease(scheduler, index, order.lease()), Event.STALL);
         }
-        if (how == Broken.HANDED_OUT_WHEN_ASKED && order.state() == State.TAKEN && order.heldBy(me)) {
-            runs(w.copy(), new Right(i, o, order.lease() + 1));
+        if (fault == Fault.HANDED_OUT_WHEN_ASKED && order.state() == State.TAKEN && order.isHeldBy(session)) {
+            run(world.copy(), new Lease(scheduler, index, order.lease() + 1));
         }
     }
 
-    private void told(World n, int by, Right r, Event event) {
-        List<Long> lives = n.lives.get(by);
+    private void report(World next, int reporter, Lease lease, Event event) {
+        List<Long> incarnations = next.incarnations.get(reporter);
         apply(
-                n,
-                new Entry.Told(new By(NAMES[by], lives.get(lives.size() - 1)), id(r.order), event, r.lease, NOTHING),
+                next,
+                new Entry.Told(
+                        new SessionId(NAMES[reporter], incarnations.get(incarnations.size() - 1)),
+                        id(lease.order),
+                        event,
+                        lease.number,
+                        EMPTY),
                 -1);
-        add(n);
+        visit(next);
     }
 
     /** A worker gets the order and runs it; what it then tells, and where, is another step. */
-    private void runs(World n, Right r) {
-        n.runs[r.order] = Math.min(3, n.runs[r.order] + 1);
-        if (n.untold.size() < 2) {
-            n.untold.add(r);
+    private void run(World next, Lease lease) {
+        next.runs[lease.order] = Math.min(3, next.runs[lease.order] + 1);
+        if (next.unreportedRuns.size() < 2) {
+            next.unreportedRuns.add(lease);
         }
-        check(n, again || n.runs[r.order] <= 1, "an order ran twice");
-        add(n);
+        check(next, repeatable || next.runs[lease.order] <= 1, "an order ran twice");
+        visit(next);
     }
 
-    private Outcome apply(World n, Entry e, int leaser) {
-        FleetBook before = book(n);
-        FleetBook b = book(n);
-        if (how == Broken.OLD_LEASE_HANDS_BACK && e instanceof Entry.Told t && t.event() == Event.HANDED_BACK) {
-            e = new Entry.Told(t.by(), t.id(), t.event(), b.orders().of(t.id()).lease(), NOTHING);
+    private Outcome apply(World next, Entry entry, int leaser) {
+        FleetBook before = restoreState(next);
+        FleetBook state = restoreState(next);
+        if (fault == Fault.OLD_LEASE_HANDS_BACK
+                && entry instanceof Entry.Told command
+                && command.event() == Event.HANDED_BACK) {
+            entry = new Entry.Told(
+                    command.session(),
+                    command.id(),
+                    command.event(),
+                    state.orders().find(command.id()).lease(),
+                    EMPTY);
         }
-        Outcome o = b.apply(e, 1, new ArrayList<>());
-        n.book = how == Broken.NOTHING ? b.image() : spoilt(before, b.image(), e);
-        if (o.done() && leaser >= 0 && e instanceof Entry.Told t) {
-            n.rights.add(new Right(leaser, Integer.parseInt(t.id().substring(1)), (int) o.number()));
+        Outcome outcome = state.apply(entry, 1, new ArrayList<>());
+        next.state = fault == Fault.NOTHING ? state.image() : injectFault(before, state.image(), entry);
+        if (outcome.done() && leaser >= 0 && entry instanceof Entry.Told command) {
+            next.leases.add(new Lease(leaser, Integer.parseInt(command.id().substring(1)), (int) outcome.number()));
         }
-        rules(n, before, book(n), e, o);
-        return o;
+        checkInvariants(next, before, restoreState(next), entry, outcome);
+        return outcome;
     }
 
     /** The book as a broken ledger would leave it. */
-    private FleetBook.Image spoilt(FleetBook before, FleetBook.Image after, Entry e) {
-        List<Order> all = new ArrayList<>();
-        for (Order o : after.orders().orders()) {
-            Order old = before.orders().of(o.id());
-            if (how == Broken.LEASED_IS_FREE_WHEN_LOST && o.state() == State.AWAITED && old.state() == State.LEASED) {
-                o = o.in(State.TAKEN, o.lease(), NOTHING).heldBy("", 0);
-            } else if (how == Broken.AWAITED_IS_HANDED_OUT_AGAIN
-                    && e instanceof Entry.Settle
-                    && o.state() == State.UNKNOWN) {
-                o = o.in(State.TAKEN, o.lease(), NOTHING).heldBy("", 0);
-            } else if (how == Broken.CLAIM_TAKES_WHAT_IS_HELD
-                    && e instanceof Entry.Claim c
-                    && c.ids().contains(o.id())
-                    && old.state() == State.LEASED) {
-                o = old.in(State.TAKEN, old.lease(), NOTHING).heldBy(c.by().name(), c.by().incarnation());
+    private FleetBook.Image injectFault(FleetBook before, FleetBook.Image after, Entry entry) {
+        List<Order> orders = new ArrayList<>();
+        for (Order order : after.orders().orders()) {
+            Order previous = before.orders().find(order.id());
+            if (fault == Fault.LEASED_IS_FREE_WHEN_LOST
+                    && order.state() == State.AWAITED
+                    && previous.state() == State.LEASED) {
+                order = order.withState(State.TAKEN, order.lease(), EMPTY).withHolder("", 0);
+            } else if (fault == Fault.AWAITED_IS_HANDED_OUT_AGAIN
+                    && entry instanceof Entry.Settle
+                    && order.state() == State.UNKNOWN) {
+                order = order.withState(State.TAKEN, order.lease(), EMPTY).withHolder("", 0);
+            } else if (fault == Fault.CLAIM_TAKES_WHAT_IS_HELD
+                    && entry instanceof Entry.Claim claim
+                    && claim.ids().contains(order.id())
+                    && previous.state() == State.LEASED) {
+                order = previous.withState(State.TAKEN, previous.lease(), EMPTY)
+                        .withHolder(claim.session().name(), claim.session().incarnation());
             }
-            all.add(o);
+            orders.add(order);
         }
         return new FleetBook.Image(
-                after.sessions(), after.duties(), after.plans(), after.bans(), after.words(), new Orders.Image(all));
+                after.sessions(),
+                after.duties(),
+                after.plannedJobs(),
+                after.bans(),
+                after.discoveryReports(),
+                new Orders.Snapshot(orders));
     }
 
-    private void rules(World n, FleetBook before, FleetBook after, Entry e, Outcome o) {
+    private void checkInvariants(World next, FleetBook before, FleetBook after, Entry entry, Outcome outcome) {
         for (Order order : after.orders().all()) {
-            Order old = before.orders().of(order.id());
-            int at = Integer.parseInt(order.id().substring(1));
-            check(n, again || order.state() != State.TAKEN || n.runs[at] == 0, "an order that ran waits");
-            check(n, order.lease() >= old.lease(), "a lease went back");
-            check(n, order.lease() <= Orders.MOST_LEASES, "too many attempts");
+            Order previous = before.orders().find(order.id());
+            int index = Integer.parseInt(order.id().substring(1));
+            check(next, repeatable || order.state() != State.TAKEN || next.runs[index] == 0, "an order that ran waits");
+            check(next, order.lease() >= previous.lease(), "a lease went back");
+            check(next, order.lease() <= Orders.MAX_LEASES, "too many attempts");
             check(
-                    n,
+                    next,
                     order.state() != State.TAKEN
                             || order.holder().isEmpty()
                             || after.sessions().live(order.holder(), order.incarnation()),
                     "a lost life holds an order");
             check(
-                    n,
-                    !old.state().ended()
-                            || order.state() == old.state()
-                            || old.state() == State.UNKNOWN && order.state().ended(),
+                    next,
+                    !previous.state().ended()
+                            || order.state() == previous.state()
+                            || previous.state() == State.UNKNOWN
+                                    && order.state().ended(),
                     "a final answer changed");
-            if (order.state() != old.state()) {
-                reached.add(old.state() + " to " + order.state());
+            if (order.state() != previous.state()) {
+                reached.add(previous.state() + " to " + order.state());
             }
-            if (!order.holder().equals(old.holder()) && old.holder().isEmpty()) {
+            if (!order.holder().equals(previous.holder()) && previous.holder().isEmpty()) {
                 reached.add("claimed");
             }
         }
-        check(n, after.orders().all().size() == orders, "an order is lost");
-        if (!o.done() && e instanceof Entry.Told t) {
-            reached.add(t.event() + " refused");
-        } else if (!o.done()) {
-            reached.add(e.getClass().getSimpleName() + " refused");
+        check(next, after.orders().all().size() == orderCount, "an order is lost");
+        if (!outcome.done() && entry instanceof Entry.Told command) {
+            reached.add(command.event() + " refused");
+        } else if (!outcome.done()) {
+            reached.add(entry.getClass().getSimpleName() + " refused");
         }
     }
 
-    private static void check(World w, boolean holds, String words) {
-        w.broken = w.broken == null && !holds ? words : w.broken;
+    private static void check(World world, boolean condition, String message) {
+        world.violation = world.violation == null && !condition ? message : world.violation;
     }
 }
--- a/src/test/java/plumpost/fleet/OrdersModelTest.java
+++ b/src/test/java/plumpost/fleet/OrdersModelTest.java
@@ -10,12 +10,12 @@
     /** Guards the rules over every pause, cut, crash, late word and loss of a message that the bounds allow. */
     @ParameterizedTest
     @CsvSource({"false,1,2,1,3", "true,1,1,1,3", "false,2,1,0,2"})
-    void noOrderOfEventsBreaksARule(boolean again, int orders, int losses, int crashes, int leases) {
-        OrdersModel m = new OrdersModel(OrdersModel.Broken.NOTHING, again, orders, losses, crashes, leases);
-        m.explore();
-        assertThat(m.found).isNull();
-        System.out.println("ledger model: " + m.states() + " states, " + m.moves + " moves");
-        assertThat(m.reached)
+    void noOrderOfEventsViolatesAnInvariant(boolean repeatable, int orders, int losses, int crashes, int leases) {
+        OrdersModel model = new OrdersModel(OrdersModel.Fault.NOTHING, repeatable, orders, losses, crashes, leases);
+        model.explore();
+        assertThat(model.violation).isNull();
+        System.out.println("ledger model: " + model.stateCount() + " states, " + model.moves + " moves");
+        assertThat(model.reached)
                 .contains(
                         "TAKEN to LEASED",
                         "LEASED to TAKEN",
@@ -26,7 +26,7 @@
                         "LEASE refused",
                         "HANDED_BACK refused",
                         "Settle refused",
-                        again ? "AWAITED to TAKEN" : "UNKNOWN to SERVED");
+                        repeatable ? "AWAITED to TAKEN" : "UNKNOWN to SERVED");
     }
 
     /** Guards the model itself: each variant broken on purpose is found by the rule that it breaks. */
@@ -38,9 +38,9 @@
         "OLD_LEASE_HANDS_BACK,an order that ran waits",
         "AWAITED_IS_HANDED_OUT_AGAIN,an order that ran waits"
     })
-    void eachBrokenVariantIsFound(OrdersModel.Broken how, String rules) {
-        OrdersModel m = new OrdersModel(how, false, 1, 1, 1, 3);
-        m.explore();
-        assertThat(m.found).isIn((Object[]) rules.split("\\|"));
+    void eachInjectedFaultIsDetected(OrdersModel.Fault fault, String violations) {
+        OrdersModel model = new OrdersModel(fault, false, 1, 1, 1, 3);
+        model.explore();
+        assertThat(model.violation).isIn((Object[]) violations.split("\\|"));
     }
 }
