--- a/src/main/java/plumpost/fleet/Beats.java
+++ b/src/main/java/plumpost/fleet/Beats.java
@@ -11,10 +11,10 @@
 import plumpost.fleet.Sessions.State;
 
 /**
- * What the log's leader has heard of each life, and whom it therefore proposes to call suspect, lost or alive again. It
- * only makes takeover quick: a false word of it costs a change of owner and harms nothing. A leader that comes to
- * office, or that notices that it has itself been stopped, begins to count anew. Does no I/O; times are milliseconds of
- * any steady clock.
+ * The log leader's failure detector: records the heartbeats of each session and proposes verdicts that mark sessions as
+ * suspect, lost or alive again. It only speeds up takeover: a false verdict costs a change of owner and harms nothing. A
+ * new leader, and one that notices that its own process was suspended, starts counting anew. Does no I/O; times are
+ * milliseconds of any monotonic clock.
  */
 public final class Beats {
     private record SessionKey(String name, long incarnation) {}
@@ -23,21 +23,27 @@
     private final double lostMs;
     private final double maxCheckGapMs;
     private final Map<SessionKey, Double> lastHeard = new HashMap<>();
-    /** When each life was first seen in the book by this leader: its time runs from then, not from the leader's start. */
+    /** When this leader first saw each session in the state: silence counts from then, not from the start of its term. */
     private final Map<SessionKey, Double> firstSeen = new HashMap<>();
 
     private final Set<SessionKey> lagging = new HashSet<>();
     private double leadingSinceMs = Double.NaN;
     private double lastCheckMs;
 
-    /** {@code stoppedMs}: two looks farther apart than this mean that the leader itself was stopped meanwhile. */
+    /**
+     * Creates a detector; all parameters are milliseconds.
+     *
+     * @param suspectMs silence, or lag of the copy of the state, from which a session is suspect
+     * @param lostMs silence from which a session is lost
+     * @param maxCheckGapMs two checks farther apart than this mean that the leader itself was suspended in between
+     */
     public Beats(double suspectMs, double lostMs, double maxCheckGapMs) {
         this.suspectMs = suspectMs;
         this.lostMs = lostMs;
         this.maxCheckGapMs = maxCheckGapMs;
     }
 
-    /** This process leads from now on. */
+    /** Starts counting anew: this process leads from now on. */
     public void lead(double nowMs) {
         lastHeard.clear();
         lagging.clear();
@@ -46,7 +52,10 @@
         lastCheckMs = nowMs;
     }
 
-    /** A life was heard, whose copy of the book has been behind for so long: it keeps its life and gets nothing new. */
+    /**
+     * Records a heartbeat of a session whose copy of the state has been lagging for {@code behindMs}. A session that lags
+     * for long is marked suspect: it continues, and gets nothing new.
+     */
     public void beat(String name, long incarnation, double nowMs, double behindMs) {
         SessionKey key = new SessionKey(name, incarnation);
         lastHeard.put(key, nowMs);
@@ -63,7 +72,7 @@
                         session.name().equals(key.name) && session.incarnation() == key.incarnation && session.live());
     }
 
-    /** What is to be proposed now, under the leader's term. */
+    /** Returns the verdicts to propose now, under the leader's term. */
     public List<Entry> look(Collection<Session> sessions, long term, double nowMs) {
         if (Double.isNaN(leadingSinceMs) || nowMs - lastCheckMs > maxCheckGapMs) {
             lead(nowMs);
--- a/src/main/java/plumpost/fleet/DiscoveryRunner.java
+++ b/src/main/java/plumpost/fleet/DiscoveryRunner.java
@@ -5,9 +5,10 @@
 import plumpost.peers.Host;
 
 /**
- * Discovery for one site: its duty's owner asks it and tells the fleet its word, the others follow that word. Where it is
- * older than a stated age each asks itself, after a delay of its own so that they do not all come at once, and stops when
- * the owner's word is fresh again.
+ * Discovery for one site: the owner of its duty queries discovery and reports to the fleet, and the others follow those
+ * reports. When the last report is older than a maximum age each member queries discovery itself, after an additional
+ * delay that differs between members so that they do not all start at once, and stops when the owner's reports are fresh
+ * again.
  */
 final class DiscoveryRunner {
     private final Member member;
@@ -18,7 +19,7 @@
     private double lastReportMs;
     private boolean asking;
     private boolean started;
-    /** What discovery told this owner and the log has not: told in order, one at a time, each until it is applied. */
+    /** Reports of this owner that the log has not applied: proposed in order, one at a time, each until it is applied. */
     private final ArrayDeque<Entry.Word> pendingReports = new ArrayDeque<>();
 
     DiscoveryRunner(Member member, Host host, String duty, double maxAgeMs) {
@@ -30,7 +31,7 @@
         this.lastReportMs = Double.NaN;
     }
 
-    /** A word of some site's owner was applied. */
+    /** A report of the owner of some site's duty was applied. */
     void onReportApplied(Entry.Word report) {
         if (report.duty().equals(duty)) {
             lastReportMs = member.nowMs();
@@ -44,7 +45,7 @@
         }
     }
 
-    /** A snapshot took the place of entries: the words in it are told again from the whole on. */
+    /** A snapshot replaced the state: passes all reports in it on again, beginning with the whole list. */
     void restored() {
         List<Entry.Word> reports = duty == null ? List.of() : member.state().discoveryReports(duty);
         if (!reports.isEmpty()) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Discovery itself told this process something. */
+    /** Discovery sent this process a line; the owner of the duty reports it to the fleet. */
     void onDiscoveryLine(String line, long seq, boolean whole) {
         if (duty == null || member.fence(duty) == 0) {
             return;
@@ -64,7 +65,8 @@
         if (line.length() < FleetCodec.MOST_BYTES / 2) {
             pendingReports.add(new Entry.Word(duty, 0, seq, whole, line));
         } else {
-            member.count("discovery_too_long"); // each asks itself, when this owner's word is old
+            // Not reported: the others query discovery themselves once this owner's last report is too old.
+            member.count("discovery_too_long");
         }
         proposeNext();
     }
@@ -87,6 +89,7 @@
         }
     }
 
+    /** Starts or stops querying discovery as needed, and proposes what is pending. */
     void poll() {
         if (duty == null) {
             return;
@@ -110,8 +113,8 @@
                 && host.hears()
                 && nowMs - lastReportMs > maxAgeMs / 3
                 && !member.state().discoveryReports(duty).isEmpty()) {
-            member.proposeOnce(
-                    "word", new Entry.Word(duty, member.fence(duty), 0, false, ""), outcome -> {}); // it still holds
+            // An empty report says that the list still holds.
+            member.proposeOnce("word", new Entry.Word(duty, member.fence(duty), 0, false, ""), outcome -> {});
         } else {
             proposeNext();
         }
--- a/src/main/java/plumpost/fleet/Duties.java
+++ b/src/main/java/plumpost/fleet/Duties.java
@@ -12,17 +12,18 @@
 import plumpost.fleet.Sessions.State;
 
 /**
- * Who does what on behalf of the fleet: one owner a duty, each time under a higher fence. Owners stay (sticky) while
- * they live; a duty of a site goes to a scheduler of that site while there is one, else to who has fewest; it moves from
- * a live owner only to its site, or to one with at least two duties fewer.
+ * The duties of the fleet and their owners. A duty has one owner at a time, and each ownership has a higher fence than
+ * the one before. Assignments are sticky: a duty stays with its owner while the owner's session runs. A duty of a site
+ * goes to a scheduler of that site if there is one, otherwise to the scheduler with the fewest duties. It leaves a live
+ * owner only for its own site, or for a scheduler that has at least two duties fewer.
  */
 public final class Duties {
-    /** Named duties at once. */
+    /** Maximum number of duties; further offers are ignored. */
     static final int MAX_DUTIES = 1024;
 
-    /** A duty: {@code owner} is empty while nobody can take it; the fence then names the last ownership. */
+    /** A duty; {@code owner} is empty while no scheduler can own it, and the fence is then that of the last ownership. */
     public record Duty(String name, String site, String owner, long incarnation, long fence) {
-        /** Whether this life owns it under this fence. */
+        /** Whether this session owns the duty under this fence. */
         public boolean ownedBy(String memberName, long ownerIncarnation, long ownerFence) {
             return owner.equals(memberName) && incarnation == ownerIncarnation && fence == ownerFence;
         }
@@ -31,17 +32,17 @@
     private final TreeMap<String, Duty> byName = new TreeMap<>();
     private long lastFence;
 
-    /** All, by name. */
+    /** All duties, by name. */
     public Collection<Duty> all() {
         return byName.values();
     }
 
-    /** A duty, or null. */
+    /** Returns a duty by its name, or null. */
     public Duty find(String name) {
         return byName.get(name);
     }
 
-    /** Adds the duties that a newcomer can take. */
+    /** Adds the duties that a new session offers to own. */
     void addOffered(Collection<Offer> offers) {
         for (Offer offer : offers) {
             if (byName.size() < MAX_DUTIES) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Why an act under a fence is not the owner's, or null where it is. */
+    /** Returns why an action under this fence is not the current owner's, or null if it is. */
     String fenceError(String dutyName, long fence) {
         Duty duty = byName.get(dutyName);
         return duty == null
@@ -62,7 +63,7 @@
                                 : "fence " + fence + " of " + dutyName + " is old, " + duty.fence + " holds";
     }
 
-    /** The owner passes it on, to another where there is one. */
+    /** Moves a duty from its owner to another scheduler; refused if no other can own it. */
     Outcome yield(Entry.Yield command, Sessions sessions, Collection<News> events) {
         String refusal = fenceError(command.duty(), command.fence());
         if (refusal != null) {
@@ -77,7 +78,7 @@
         return Outcome.done(lastFence);
     }
 
-    /** After each change of membership: every duty that can have an owner gets one, and the load is levelled. */
+    /** After a change of membership, assigns every duty that can have an owner and balances the number of duties. */
     void reassign(Sessions sessions, Collection<News> events) {
         for (Duty duty : List.copyOf(byName.values())) {
             if (!hasActiveOwner(duty, sessions)) {
@@ -122,7 +123,7 @@
 
     private Session bestCandidate(Duty duty, Sessions sessions, String excluded) {
         Map<String, Integer> loads = new HashMap<>();
-        byName.values().forEach(x -> loads.merge(x.owner, 1, Integer::sum));
+        byName.values().forEach(other -> loads.merge(other.owner, 1, Integer::sum));
         return sessions.all().stream()
                 .filter(session ->
                         session.state() == State.ALIVE && !session.name().equals(excluded) && session.offers(duty.name))
@@ -138,7 +139,7 @@
         events.add(new News.OwnerChanged(next, duty.owner));
     }
 
-    /** What a snapshot keeps of it. */
+    /** The part of a snapshot that holds the duties. */
     public record Snapshot(List<Duty> duties, long lastFence) {}
 
     Snapshot snapshot() {
--- a/src/main/java/plumpost/fleet/Entry.java
+++ b/src/main/java/plumpost/fleet/Entry.java
@@ -4,19 +4,22 @@
 import plumpost.durable.OrderLife;
 
 /**
- * One record of the fleet's log. Every entry may come twice, since who proposed it may not hear of its success and
- * proposes it again: applied a second time it changes nothing, or is refused by the number it carries. Names are a
- * scheduler's {@code name}; an incarnation is one life of it, given by its {@link Join}, never used again; a fence is
- * the number of one ownership of a duty, given by the book, never used again.
+ * One record of the fleet's replicated log. A proposer that does not learn the outcome proposes its entry again, so
+ * every entry can occur twice: applied a second time it changes nothing, or is refused because of a number that it
+ * carries. {@code name} is the name of a scheduler; an incarnation is the number of one of its sessions, assigned by its
+ * {@link Join} and never reused; a fence is the number of one ownership of a duty, assigned by the replicated state and
+ * never reused.
+ *
+ * <p>The log stores the simple names of these records and their components in this order.
  */
 public sealed interface Entry {
-    /** A duty that a scheduler can take, and the site that it is best done at (empty for any). */
+    /** A duty that a scheduler can own, and the site whose schedulers are preferred for it (empty for any site). */
     record Offer(String duty, String site) {}
 
     /**
-     * A scheduler begins a life. {@code nonce} is drawn anew by each process, so that a join that is proposed twice
-     * begins one life; {@code disk} is the identity of its data directory; {@code reads} the newest record format that
-     * its program reads.
+     * A scheduler starts a session. Each process draws its own {@code nonce}, so that a join that is proposed twice starts
+     * one session; {@code directoryId} is the identity of its data directory; {@code maxFormat} is the newest record
+     * format that its program reads.
      */
     record Join(
             String name,
@@ -28,60 +31,69 @@
             List<Offer> offers)
             implements Entry {}
 
-    /** What a leader thinks of a life that it has not heard; {@code term} is its own term: an old leader is not believed. */
+    /**
+     * A leader's verdict on a session, from the heartbeats that it has received; {@code term} is the leader's own term: a
+     * verdict of an earlier term is refused.
+     */
     record Judge(String name, long incarnation, Verdict verdict, long term) implements Entry {}
 
-    /** What can be thought of a life. */
+    /** The verdicts on a session. */
     enum Verdict {
         ALIVE,
         SUSPECT,
         LOST
     }
 
-    /** A scheduler ends in order: first it passes its duties on and finishes what it has, at {@code last} it is gone. */
+    /**
+     * A scheduler shuts down in order: the first entry passes its duties on while it finishes its work, the one with
+     * {@code last} ends its session.
+     */
     record Leave(String name, long incarnation, boolean last) implements Entry {}
 
-    /** An operator takes a scheduler out for good: its data directory never joins again. */
+    /** An operator removes a scheduler permanently: its data directory cannot join again. */
     record Remove(String name) implements Entry {}
 
-    /** The fleet writes a newer record format from now on, since all members read it. */
+    /** Raises the record format that the fleet writes, once all members read it. */
     record Raise(int format) implements Entry {}
 
-    /** The functions that a scheduler has workers for now. */
+    /** The functions that a scheduler currently has workers for. */
     record Serves(String name, long incarnation, List<String> functions) implements Entry {}
 
-    /** The owner under that fence, or an operator who has read it, passes a duty on. */
+    /** Passes a duty on to another scheduler; sent by its owner under that fence, or by an operator who has read the fence. */
     record Yield(String duty, long fence) implements Entry {}
 
-    /** A route node taken out by hand, or called back. */
+    /** Bans a route node by hand, or lifts the ban. */
     record Ban(String node, boolean banned) implements Entry {}
 
-    /** What discovery told the owner of a site's duty; {@code text} are list lines, whole or since the former word. */
+    /**
+     * What discovery reported to the owner of a site's duty: {@code text} holds lines of the node list, either the whole
+     * list or the changes since the previous report.
+     */
     record Word(String duty, long fence, long seq, boolean whole, String text) implements Entry {}
 
     /**
-     * A job that is to start at a time, in Unix milliseconds; its id is the handle that its client was given; {@code
-     * again} says whether it may run twice. A second job under one key is the first one.
+     * Plans a job that starts at {@code startMs}, in Unix milliseconds. Its id is the handle that its client was given;
+     * {@code repeatable} says whether it may run twice. A second job with the same key stands for the first one.
      */
     record Plan(String id, String function, String unique, byte[] body, double startMs, boolean repeatable)
             implements Entry {}
 
-    /** The schedule's owner gives a job whose time has come to a life that is to run it. */
+    /** The owner of the schedule assigns a due job to the session that is to run it. */
     record Fire(String id, long fence, String target, long incarnation) implements Entry {}
 
-    /** That life is about to hand it to a worker: from here on it may have run. */
+    /** That session is about to hand the job to a worker: from here on the job may have run. */
     record Begin(String id, String target, long incarnation) implements Entry {}
 
-    /** It has ended, or it came back unstarted ({@code unstarted}) and is to be given to another life. */
+    /** The job has ended, or came back {@code unstarted} and is to be assigned to another session. */
     record End(String id, String target, long incarnation, boolean unstarted) implements Entry {}
 
-    /** A job that has not been given to anyone is called off. */
+    /** Cancels a job that has not been assigned to any session. */
     record CallOff(String id) implements Entry {}
 
-    /** A life that speaks. */
+    /** The session that proposes an entry. */
     record SessionId(String name, long incarnation) {}
 
-    /** A life takes a covered order, and holds it; the id is the handle that its client is given. */
+    /** A session accepts a covered order and becomes its holder; the id is the handle that its client is given. */
     record Take(
             SessionId session,
             String id,
@@ -95,17 +107,20 @@
             implements Entry {}
 
     /**
-     * What a life says of an order: that it is about to hand it out (LEASE; {@code lease} is then the latest before it),
-     * or what came of it under a lease, with what its worker made or said.
+     * A session reports an event of an order: that it is about to hand the order out (LEASE; {@code lease} is then the
+     * latest one before it), or the outcome under a lease, with the worker's result or error.
      */
     record Told(SessionId session, String id, OrderLife.Event event, int lease, byte[] result) implements Entry {}
 
-    /** A life takes free orders over. */
+    /** A session takes over free orders. */
     record Claim(SessionId session, List<String> ids) implements Entry {}
 
-    /** A life gives orders back that it holds and has not handed out. */
+    /** A session releases orders that it holds and has not handed out. */
     record Release(SessionId session, List<String> ids) implements Entry {}
 
-    /** The ledger's owner: whose worker was waited for long enough, and whose outcome was kept long enough. */
+    /**
+     * The owner of the ledger gives up orders whose worker has been awaited for long enough, and forgets those whose
+     * outcome has been kept for long enough.
+     */
     record Settle(long fence, List<String> givenUp, List<String> forgotten) implements Entry {}
 }
--- a/src/main/java/plumpost/fleet/FleetBook.java
+++ b/src/main/java/plumpost/fleet/FleetBook.java
@@ -8,20 +8,20 @@
 import plumpost.fleet.Sessions.Session;
 
 /**
- * What the fleet has agreed on: a deterministic state machine over the log's entries, without I/O and without a clock.
- * Equal entries in equal order make equal books everywhere. An act on behalf of the fleet is judged here, at the moment
- * at which it is applied, by its fence and by the life that it is of; no clock is asked.
+ * The replicated state of the fleet: a deterministic state machine over the log's entries, without I/O and without a
+ * clock. Equal entries in equal order give equal states everywhere. Whether an action on behalf of the fleet is valid is
+ * decided here when its entry is applied, by its fence and by the session that proposed it, never by a clock.
  */
 public final class FleetBook {
-    /** The duty under which planned jobs are started. */
+    /** The duty whose owner starts planned jobs. */
     public static final String SCHEDULE = "schedule";
-    /** The duty under which orders are given up and forgotten. */
+    /** The duty whose owner gives orders up and forgets them. */
     public static final String LEDGER = "ledger";
-    /** Begins the names of the duties under which discovery is asked; the site follows. */
+    /** Prefix of the duties whose owners query discovery; the name of the site follows. */
     public static final String DISCOVERY = "discovery/";
-    /** Route nodes out by hand at once. */
+    /** Maximum number of route nodes that are banned by hand at a time. */
     static final int MAX_BANS = 8192;
-    /** Changes of a node list kept behind its whole: then the owner tells the whole again. */
+    /** Maximum number of changes kept after a whole node list; after that the owner must send the whole list again. */
     static final int MAX_LIST_CHANGES = 64;
 
     private Sessions sessions = new Sessions();
@@ -29,10 +29,10 @@
     private Plans plannedJobs = new Plans();
     private Orders orders = new Orders();
     private final TreeSet<String> bans = new TreeSet<>();
-    /** Discovery's latest whole list and what was told since, by duty. */
+    /** By duty, the latest whole node list and the changes reported since. */
     private final TreeMap<String, List<Entry.Word>> discoveryReports = new TreeMap<>();
 
-    /** Applies an entry of a term of the log; what it changed is added to the news. */
+    /** Applies an entry of a term of the log and adds what it changed to {@code events}. */
     public Outcome apply(Entry entry, long term, Collection<News> events) {
         Outcome outcome = applyEntry(entry, term, events);
         if (!outcome.done()) {
@@ -54,8 +54,8 @@
                 duties.reassign(sessions, events);
             }
             return outcome;
-        } else if (entry instanceof Entry.Judge join) {
-            return afterMembershipChange(join.name(), sessions.judge(join, term, events), events);
+        } else if (entry instanceof Entry.Judge judge) {
+            return afterMembershipChange(judge.name(), sessions.judge(judge, term, events), events);
         } else if (entry instanceof Entry.Leave leave) {
             return afterMembershipChange(leave.name(), sessions.leave(leave, events), events);
         } else if (entry instanceof Entry.Remove command) {
@@ -74,8 +74,8 @@
             return plannedJobs.plan(plan, events);
         } else if (entry instanceof Entry.Fire fire) {
             return plannedJobs.fire(fire, duties.fenceError(SCHEDULE, fire.fence()), sessions, events);
-        } else if (entry instanceof Entry.Begin ban) {
-            return plannedJobs.begin(ban, sessions, events);
+        } else if (entry instanceof Entry.Begin begin) {
+            return plannedJobs.begin(begin, sessions, events);
         } else if (entry instanceof Entry.End end) {
             return plannedJobs.end(end, events);
         } else if (entry instanceof Entry.CallOff command) {
@@ -124,7 +124,7 @@
         if (refusal != null) {
             return Outcome.refused(refusal);
         }
-        List<Entry.Word> reports = discoveryReports.computeIfAbsent(report.duty(), d -> new ArrayList<>());
+        List<Entry.Word> reports = discoveryReports.computeIfAbsent(report.duty(), duty -> new ArrayList<>());
         if (report.whole()) {
             reports.clear();
         } else if (reports.isEmpty() || reports.size() > MAX_LIST_CHANGES) {
@@ -137,37 +137,37 @@
         return Outcome.DONE;
     }
 
-    /** Who belongs to the fleet. */
+    /** The members of the fleet and their sessions. */
     public Sessions sessions() {
         return sessions;
     }
 
-    /** Who does what. */
+    /** The duties and their owners. */
     public Duties duties() {
         return duties;
     }
 
-    /** Jobs that wait for their time. */
+    /** The planned jobs that are not over. */
     public Plans plans() {
         return plannedJobs;
     }
 
-    /** Covered orders. */
+    /** The covered orders. */
     public Orders orders() {
         return orders;
     }
 
-    /** Route nodes out by hand. */
+    /** The route nodes that are banned by hand. */
     public Collection<String> bans() {
         return bans;
     }
 
-    /** What discovery told under a duty: a whole list and the changes since; empty before its first word. */
+    /** The discovery reports of a duty: a whole list and the changes since; empty before the first report. */
     public List<Entry.Word> discoveryReports(String duty) {
         return List.copyOf(discoveryReports.getOrDefault(duty, List.of()));
     }
 
-    /** All of it, for a snapshot. */
+    /** The content of a snapshot. The order and the types of the components are stored. */
     public record Image(
             Sessions.Snapshot sessions,
             Duties.Snapshot duties,
@@ -176,7 +176,7 @@
             List<Entry.Word> discoveryReports,
             Orders.Snapshot orders) {}
 
-    /** What a snapshot keeps. */
+    /** Returns a copy of the state for a snapshot. */
     public Image image() {
         List<Entry.Word> reports = new ArrayList<>();
         discoveryReports.values().forEach(reports::addAll);
@@ -189,7 +189,7 @@
                 orders.snapshot());
     }
 
-    /** Puts a snapshot's content in place of what is here. */
+    /** Replaces this state by the content of a snapshot. */
     public void restore(Image snapshot) {
         sessions = Sessions.fromSnapshot(snapshot.sessions);
         duties = Duties.fromSnapshot(snapshot.duties);
@@ -198,8 +198,8 @@
         bans.clear();
         bans.addAll(snapshot.bans);
         discoveryReports.clear();
-        snapshot.discoveryReports.forEach(w -> discoveryReports
-                .computeIfAbsent(w.duty(), d -> new ArrayList<>())
-                .add(w));
+        snapshot.discoveryReports.forEach(report -> discoveryReports
+                .computeIfAbsent(report.duty(), duty -> new ArrayList<>())
+                .add(report));
     }
 }
--- a/src/main/java/plumpost/fleet/FleetCodec.java
+++ b/src/main/java/plumpost/fleet/FleetCodec.java
@@ -19,18 +19,18 @@
 import java.util.Map;
 
 /**
- * Writes the fleet's entries, outcomes and snapshots as CBOR (RFC 8949): a record is the array of its components in
- * their order, an entry the array of the record format's number, its kind and its components. A program that meets a
- * newer format, an unknown kind or another shape says so and reads no further: to pass over an entry would part it from
- * the others.
+ * Encodes the fleet's entries, outcomes and snapshots as CBOR (RFC 8949). A record is the array of its components in
+ * their order; an entry is the array of the record format's number, its kind and its components. A newer format, an
+ * unknown kind or another structure is an error that stops the reader: if it skipped an entry, its state would diverge
+ * from that of the other members.
  */
 public final class FleetCodec {
     /**
-     * The newest record format that this program reads and, once the fleet has agreed on it, writes. The laboratory has a
-     * process take itself for a program of another format, to run two side by side.
+     * The newest record format that this program reads and, once the fleet has agreed on it, writes. The laboratory
+     * overrides it by a system property, to run programs of two formats side by side.
      */
     public static final int FORMAT = Integer.getInteger("plumpost.lab.format", 1);
-    /** The longest entry: a node list of some thousand lines, or a job's data, with room. */
+    /** Maximum size of an entry in bytes: enough for a node list of some thousand lines, or for the data of a job. */
     public static final int MOST_BYTES = 1 << 20;
 
     private static final CBORFactory CBOR = CBORFactory.builder()
@@ -49,7 +49,7 @@
 
     private FleetCodec() {}
 
-    /** What was read is not of a form that this program knows; its text says what was found. */
+    /** The bytes read are not in a form that this program knows; the message says what was found. */
     public static final class Unreadable extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -58,86 +58,86 @@
         }
     }
 
-    /** An entry's bytes in a record format, from 1 to {@link #FORMAT}. */
+    /** Encodes an entry in a record format from 1 to {@link #FORMAT}. */
     public static byte[] bytes(Entry entry, int format) {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
         try (JsonGenerator out = CBOR.createGenerator(buffer)) {
             out.writeStartArray();
             out.writeNumber(format);
             out.writeString(entry.getClass().getSimpleName());
-            write(out, entry);
+            writeValue(out, entry);
             out.writeEndArray();
         } catch (IOException failure) {
-            throw new IllegalStateException(failure); // memory takes everything
+            throw new IllegalStateException(failure); // cannot happen: the output is in memory
         }
         return buffer.toByteArray();
     }
 
-    /** The entry in bytes. */
+    /** Decodes an entry. */
     public static Entry entry(byte[] bytes) throws Unreadable {
         try (JsonParser in = CBOR.createParser(bytes)) {
-            require(in.nextToken() == JsonToken.START_ARRAY, "no entry");
+            require(in.nextToken() == JsonToken.START_ARRAY, "not an entry");
             int format = in.nextIntValue(-1);
             require(format >= 1 && format <= FORMAT, "record format " + format + ", this program reads 1 to " + FORMAT);
             String name = in.nextTextValue();
             Class<?> kind = KINDS.get(name);
             require(kind != null, "unknown kind of entry " + name);
             in.nextToken();
-            Entry entry = (Entry) read(in, kind);
-            require(in.nextToken() == JsonToken.END_ARRAY, "something follows the entry");
+            Entry entry = (Entry) readValue(in, kind);
+            require(in.nextToken() == JsonToken.END_ARRAY, "unexpected data after the entry");
             return entry;
         } catch (Unreadable entry) {
             throw entry;
         } catch (IOException | RuntimeException entry) {
-            throw new Unreadable("the fleet's log holds what is no entry: " + entry.getMessage(), entry);
+            throw new Unreadable("the fleet's log contains an invalid entry: " + entry.getMessage(), entry);
         }
     }
 
-    /** An outcome's bytes. */
+    /** Encodes an outcome. */
     public static byte[] bytes(Outcome outcome) {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream(64);
-        snapshot(outcome, buffer);
+        writeRecord(outcome, buffer);
         return buffer.toByteArray();
     }
 
-    /** The outcome in bytes. */
+    /** Decodes an outcome. */
     public static Outcome outcome(byte[] bytes) throws Unreadable {
         try (JsonParser in = CBOR.createParser(bytes)) {
             in.nextToken();
-            return (Outcome) read(in, Outcome.class);
+            return (Outcome) readValue(in, Outcome.class);
         } catch (IOException | RuntimeException e) {
-            throw new Unreadable("no outcome: " + e.getMessage(), e);
+            throw new Unreadable("invalid outcome: " + e.getMessage(), e);
         }
     }
 
-    /** Writes a record whole. */
-    static void snapshot(Record record, OutputStream output) {
+    /** Writes a record to a stream, which stays open. */
+    static void writeRecord(Record record, OutputStream output) {
         try (JsonGenerator out = CBOR.createGenerator(output)) {
             out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-            write(out, record);
+            writeValue(out, record);
         } catch (IOException failure) {
             throw new java.io.UncheckedIOException(failure);
         }
     }
 
-    /** Writes a book's snapshot: the number of the format that the fleet has agreed on, then its content. */
+    /** Writes a snapshot of the state: the number of the record format that the fleet has agreed on, then the content. */
     public static void write(FleetBook state, OutputStream output) {
-        snapshot(new StoredSnapshot(state.sessions().format(), state.image()), output);
+        writeRecord(new StoredSnapshot(state.sessions().format(), state.image()), output);
     }
 
-    /** A snapshot with the format that it is written in. */
+    /** A snapshot with the number of the record format that it is written in. */
     record StoredSnapshot(int format, FleetBook.Image snapshot) {}
 
-    /** Reads a book's snapshot. */
+    /** Reads a snapshot. */
     public static FleetBook.Image snapshot(InputStream input) throws Unreadable {
         try (JsonParser in = CBOR.createParser(input)) {
-            require(in.nextToken() == JsonToken.START_ARRAY, "no snapshot");
+            require(in.nextToken() == JsonToken.START_ARRAY, "not a snapshot");
             int format = in.nextIntValue(-1);
             require(
                     format >= 1 && format <= FORMAT,
                     "snapshot of format " + format + ", this program reads 1 to " + FORMAT);
             in.nextToken();
-            return (FleetBook.Image) read(in, FleetBook.Image.class);
+            return (FleetBook.Image) readValue(in, FleetBook.Image.class);
         } catch (Unreadable e) {
             throw e;
         } catch (IOException | RuntimeException e) {
@@ -151,7 +151,7 @@
         }
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof String text) {
             out.writeString(text);
         } else if (value instanceof Long number) {
@@ -169,14 +169,14 @@
         } else if (value instanceof List<?> list) {
             out.writeStartArray();
             for (Object item : list) {
-                write(out, item);
+                writeValue(out, item);
             }
             out.writeEndArray();
         } else {
             out.writeStartArray();
             for (RecordComponent c : value.getClass().getRecordComponents()) {
                 try {
-                    write(out, c.getAccessor().invoke(value));
+                    writeValue(out, c.getAccessor().invoke(value));
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
                 }
@@ -185,9 +185,9 @@
         }
     }
 
-    private static Object read(JsonParser in, Type type) throws IOException {
+    private static Object readValue(JsonParser in, Type type) throws IOException {
         if (type == String.class) {
-            require(in.currentToken() == JsonToken.VALUE_STRING, "a string is missing");
+            require(in.currentToken() == JsonToken.VALUE_STRING, "expected a string");
             return in.getText();
         } else if (type == long.class) {
             return in.getLongValue();
@@ -202,11 +202,11 @@
         }
         require(
                 type instanceof Class<?> c && c.isEnum() || in.currentToken() == JsonToken.START_ARRAY,
-                "a list is missing");
+                "expected an array");
         if (type instanceof ParameterizedType list) {
             List<Object> items = new ArrayList<>();
             while (in.nextToken() != JsonToken.END_ARRAY) {
-                items.add(read(in, list.getActualTypeArguments()[0]));
+                items.add(readValue(in, list.getActualTypeArguments()[0]));
             }
             return List.copyOf(items);
         }
@@ -223,13 +223,15 @@
         Object[] values = new Object[components.length];
         Class<?>[] types = new Class<?>[components.length];
         for (int i = 0; i < components.length; i++) {
-            require(in.nextToken() != JsonToken.END_ARRAY, kind.getSimpleName() + " lacks " + components[i].getName());
+            require(
+                    in.nextToken() != JsonToken.END_ARRAY,
+                    kind.getSimpleName() + " lacks component " + components[i].getName());
             types[i] = components[i].getType();
-            values[i] = read(in, components[i].getGenericType());
+            values[i] = readValue(in, components[i].getGenericType());
         }
         require(
                 in.nextToken() == JsonToken.END_ARRAY,
-                kind.getSimpleName() + " has more than " + components.length + " parts");
+                kind.getSimpleName() + " has more than " + components.length + " components");
         try {
             Constructor<?> constructor = kind.getDeclaredConstructor(types);
             return constructor.newInstance(values);
--- a/src/main/java/plumpost/fleet/FleetLog.java
+++ b/src/main/java/plumpost/fleet/FleetLog.java
@@ -2,42 +2,43 @@
 
 import java.util.function.Consumer;
 
-/** Port to the replicated log. All that it calls back with is called on the scheduler's loop. */
+/** Port to the replicated log. All callbacks run on the scheduler's loop. */
 public interface FleetLog {
-    /** Who hears of the log; called on the scheduler's loop, in the log's order. */
+    /** Receives what is applied from the log; called on the scheduler's loop, in the order of the log. */
     interface Ear {
         /** An entry was applied. */
         void applied(Entry entry, long term);
 
-        /** The book stands like this now: at the start, or where a snapshot took the place of entries. */
+        /** The state was replaced by a snapshot: at the start, or in place of entries that were not received. */
         void restored(FleetBook.Image snapshot);
 
-        /** What the data directory holds has been read. */
+        /** The content of the data directory has been read. */
         void started();
 
-        /** This scheduler can take part in the fleet no longer, and why; it serves on by itself. */
+        /** This scheduler can no longer take part in the fleet, for the given reason; it continues to serve on its own. */
         void halted(String reason);
     }
 
     /**
-     * Proposes an entry; then tells what applying it came to, or null where that is not known: it may yet be applied, or
-     * never.
+     * Proposes an entry. The callback receives the outcome of applying it, or null if that is not known: the entry may
+     * still be applied, or never.
      */
     void propose(Entry entry, Consumer<Outcome> callback);
 
     /**
-     * Lets the leader hear a life, which itself has heard no leader for so many milliseconds: one that is heard and hears
-     * nothing has stopped its duties by itself and must not keep them from others. Then tells whether a leader that a
-     * majority follows has heard it and whether that life goes on: true, false, or null where none has answered.
+     * Sends the leader a heartbeat of a session that has itself received no leader's answer for {@code leaderSilentMs}: a
+     * session whose heartbeats arrive but that receives no answers has stopped its duties and must not keep others from
+     * them. The callback receives true if a leader that a majority follows has received the heartbeat and the session is
+     * still running, false if the session has ended, and null if no leader has answered.
      */
     void beat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback);
 
-    /** For how many milliseconds entries have been agreed on that have not been applied here yet; 0 where it keeps up. */
+    /** For how many milliseconds agreed entries have been waiting to be applied here; 0 if this scheduler keeps up. */
     double behindMs();
 
-    /** How often it has synced its log to the disk. */
+    /** The number of times that the log was synced to the disk. */
     long syncs();
 
-    /** Leaves the log; nothing is called back after it. */
+    /** Stops taking part in the log; no callback runs afterwards. */
     void close();
 }
--- a/src/main/java/plumpost/fleet/Member.java
+++ b/src/main/java/plumpost/fleet/Member.java
@@ -19,16 +19,18 @@
 import plumpost.time.UnixTime;
 
 /**
- * One scheduler's part in the fleet, without I/O: it lives a life in the log, keeps a copy of the book, does the duties
- * that are its own, and runs the planned jobs that it is told to. What it does follows from what stands in the book, not
- * from what it remembers having asked for, so that a lost answer, a restart of the engine and a repeated entry are all
- * the same to it. It acts only while a leader has heard it within its lease; whether an act counts is decided by the log.
+ * One scheduler's part in the fleet, without I/O: it keeps a session in the log and a copy of the replicated state, does
+ * the duties that it owns, and runs the planned jobs that are assigned to it. What it does follows from the replicated
+ * state and not from what it remembers having proposed, so that lost answers, restarts of the engine and repeated entries
+ * need no special handling. It acts only while it has a lease, that is, while a leader has recently received its
+ * heartbeat; the log decides whether an action is valid.
  */
 public final class Member implements Fleet, FleetLog.Ear {
     private static final double TICK_MS = 50;
-    /** An equal entry is proposed again, and a wish is answered as not known, no sooner than this. */
+    /** An equal entry is not proposed again sooner than this; a request is answered as not known at 80 % of it. */
     private static final double REPROPOSE_MS = 1000;
 
+    /** A shutdown waits for this long until the log confirms an entry, then goes on without it. */
     private static final double LEAVE_TIMEOUT_MS = 400;
 
     private final PeersConfig config;
@@ -42,7 +44,7 @@
     private final SessionRunner sessionRunner;
     private final ScheduleRunner schedule;
     private final DiscoveryRunner discovery;
-    /** Null where the file covers nothing. */
+    /** Null if the configuration covers no class. */
     private final OrderRunner orders;
 
     private FleetLog log;
@@ -58,11 +60,11 @@
     private long countedSyncs;
 
     /**
-     * A member that has not begun.
+     * Creates a member that takes part once {@link #begin} is called.
      *
-     * @param nonce drawn anew for each process
-     * @param directoryId its data directory's identity
-     * @param asksDiscovery whether it can ask discovery
+     * @param nonce a value that each process draws anew
+     * @param directoryId the identity of its data directory
+     * @param asksDiscovery whether this process can query discovery
      */
     public Member(
             PeersConfig config,
@@ -97,7 +99,7 @@
                 this, host, asksDiscovery ? FleetBook.DISCOVERY + config.self().site() : null, config.discoveryAgeMs());
     }
 
-    /** The log that it takes part in; given before {@link #begin}. */
+    /** Sets the log that it takes part in; to be called before {@link #begin}. */
     public void on(FleetLog newLog) {
         log = newLog;
     }
@@ -107,14 +109,14 @@
         tick();
     }
 
-    // ---- what the runners use ----
+    // ---- used by the runners ----
 
-    /** The time by which spans run. */
+    /** Monotonic time, for measuring durations. */
     double nowMs() {
         return clock.nowMs();
     }
 
-    /** Unix time, by which planned jobs are due. */
+    /** Unix time, which decides when planned jobs are due. */
     double unixTimeMs() {
         return unixTime.nowMs();
     }
@@ -131,12 +133,12 @@
         return sessionRunner.incarnation();
     }
 
-    /** Whether this process may act for the fleet now: asked anew before every deed, since it may have been stopped. */
+    /** Whether this process may act for the fleet now; checked before every action, since the process may have been suspended. */
     boolean mayAct() {
         return sessionActive() && !stopping;
     }
 
-    /** Whether its life goes on as far as it knows: what it has begun it may hand out and record, leaving or not. */
+    /** Whether its session runs as far as it knows: it may then hand out and record what it has begun, even while leaving. */
     boolean sessionActive() {
         return sessionRunner.holdsLease(nowMs()) && !halted;
     }
@@ -145,7 +147,7 @@
         return stopping;
     }
 
-    /** The fence under which a duty is this life's, or 0. */
+    /** Returns the fence under which this session owns a duty and may act on it, or 0. */
     long fence(String dutyName) {
         Duty duty = state.duties().find(dutyName);
         return duty != null && mayAct() && duty.owner().equals(name()) && duty.incarnation() == incarnation()
@@ -154,8 +156,8 @@
     }
 
     /**
-     * Proposes an entry unless the same was proposed within the last second; says whether it did. An answer does not
-     * change that: it may come before the copy of the book here has caught up with it.
+     * Proposes an entry unless one with the same key was proposed within the last second; returns whether it did. Having
+     * received the outcome does not shorten that time, since the local copy of the state may not show the entry yet.
      */
     boolean proposeOnce(Object key, Entry entry, Consumer<Outcome> callback) {
         Double previousMs = lastProposedMs.get(key);
@@ -185,7 +187,7 @@
         wheel.at(nowMs() + delayMs, task);
     }
 
-    // ---- its life ----
+    // ---- session and duties ----
 
     private void tick() {
         if (closed) {
@@ -206,11 +208,11 @@
         boolean hasLease = mayAct();
         if (hadLease && !hasLease && !stopping) {
             count("lease_ended");
-            logger.accept("fleet: no leader has heard this scheduler for " + Math.round(config.lostMs() * 2 / 3)
+            logger.accept("fleet: no leader has acknowledged this scheduler for " + Math.round(config.lostMs() * 2 / 3)
                     + " ms: it does no fleet duty and serves on by itself");
         }
         if (hasLease && !hadLease) {
-            logLine("heard by the leader, incarnation " + incarnation() + " takes part");
+            logLine("acknowledged by the leader, incarnation " + incarnation() + " takes part");
         }
         hadLease = hasLease;
         if (stopping) {
@@ -225,7 +227,7 @@
         poll();
     }
 
-    /** Its copy of the book is late, for instance since its disk is slow: its duties are done sooner by another. */
+    /** Passes its duties on while its copy of the state lags, for instance because of a slow disk: another does them sooner. */
     private void yieldDuties() {
         for (Duty duty : state.duties().all()) {
             long fence = fence(duty.name());
@@ -233,13 +235,13 @@
                 proposeOnce(
                         "late " + duty.name(),
                         new Entry.Yield(duty.name(), fence),
-                        outcome -> logLine("has been behind the log for " + Math.round(log.behindMs()) + " ms: passes "
-                                + duty.name() + " on"));
+                        outcome -> logLine("the local state has been behind the log for " + Math.round(log.behindMs())
+                                + " ms: yields " + duty.name()));
             }
         }
     }
 
-    /** Its life is over: nothing more is done in its name, and what nobody has seen of its work is called back. */
+    /** Handles the end of its session: nothing more is done on its behalf, and work that no worker has is recalled. */
     void sessionEnded(String reason) {
         count("lost");
         logger.accept("fleet: incarnation " + incarnation() + " is over: " + reason);
@@ -256,7 +258,7 @@
         return log;
     }
 
-    // ---- the log's words ----
+    // ---- callbacks of the log ----
 
     @Override
     public void applied(Entry entry, long term) {
@@ -265,12 +267,11 @@
         events.forEach(this::onEvent);
         if (!pollScheduled) {
             pollScheduled = true;
-            runAfter(
-                    0,
-                    () -> { // what came together is looked at once
-                        pollScheduled = false;
-                        poll();
-                    });
+            // Entries that are applied together are followed by one poll.
+            runAfter(0, () -> {
+                pollScheduled = false;
+                poll();
+            });
         }
     }
 
@@ -350,7 +351,7 @@
                 && session.incarnation() >= incarnation()
                 && !leaving
                 && !(session.incarnation() == incarnation() && session.live())) {
-            sessionEnded("the log says " + session.state().name().toLowerCase(java.util.Locale.ROOT));
+            sessionEnded("the log marks it as " + session.state().name().toLowerCase(java.util.Locale.ROOT));
             if (session.state() == Sessions.State.REMOVED) {
                 halted("it was removed from the fleet by command");
             }
@@ -369,7 +370,7 @@
         return orders;
     }
 
-    /** Proposes what somebody waits for the answer of; it is told in time, or that it is not known. */
+    /** Proposes an entry on behalf of a caller, who gets the outcome, or after a time limit that it is not known. */
     void request(Entry entry, Consumer<Said> callback) {
         if (halted || log == null) {
             callback.accept(new Said(false, false, "this scheduler takes part in the fleet no longer"));
@@ -395,8 +396,8 @@
     }
 
     @Override
-    public void ban(String node, boolean out, Consumer<Said> callback) {
-        request(new Entry.Ban(node, out), callback);
+    public void ban(String node, boolean banned, Consumer<Said> callback) {
+        request(new Entry.Ban(node, banned), callback);
     }
 
     @Override
@@ -471,12 +472,12 @@
         if (incarnation() == 0 || halted || log == null) {
             leave();
         } else {
-            log.propose(
-                    new Entry.Leave(name(), incarnation(), false), outcome -> {}); // others have its duties from now on
+            // Others take over its duties from now on.
+            log.propose(new Entry.Leave(name(), incarnation(), false), outcome -> {});
         }
     }
 
-    /** What it had is finished or has come back: now it is gone. Where that cannot be agreed on it goes all the same. */
+    /** Leaves once its work is finished or returned; after a time limit it leaves without the log's confirmation. */
     private void finishLeaving() {
         if (schedule.finished() && (orders == null || orders.finished()) && !leaving && incarnation() > 0) {
             leaving = true;
@@ -488,7 +489,7 @@
         }
     }
 
-    /** The scheduler has no open job any more: what is still to be told is told now or not at all. */
+    /** Leaves at once after the time limit: the scheduler has no open job, and nothing more will be reported. */
     @Override
     public void idle() {
         if (stopping && !leaving && nowMs() > leaveDeadlineMs) {
--- a/src/main/java/plumpost/fleet/News.java
+++ b/src/main/java/plumpost/fleet/News.java
@@ -1,25 +1,25 @@
 package plumpost.fleet;
 
-/** What an applied entry changed, told to whoever acts on it; the same everywhere and in the same order. */
+/** A change that an applied entry made to the replicated state; every member sees the same events in the same order. */
 public sealed interface News {
-    /** A scheduler's life began or changed; {@code former} is null for a new one. */
+    /** A session started or changed; {@code previous} is null for a new one. */
     record SessionChanged(Sessions.Session current, Sessions.State previous) implements News {}
 
-    /** A duty has another owner, or none ({@code duty.owner()} empty). */
+    /** A duty has another owner, or none, in which case {@code duty.owner()} is empty. */
     record OwnerChanged(Duties.Duty duty, String previousOwner) implements News {}
 
-    /** An entry under an old fence, or of a life that is over, was refused. */
+    /** An entry was refused, for instance because of an old fence or an ended session. */
     record EntryRefused(Entry entry, String reason) implements News {}
 
-    /** A route node went out by hand or was called back. */
+    /** A route node was banned by hand, or its ban was lifted. */
     record BanChanged(String node, boolean banned) implements News {}
 
-    /** Discovery's word for a site. */
+    /** Discovery reported a node list, or changes to it, for a site. */
     record DiscoveryReported(Entry.Word report) implements News {}
 
-    /** An order changed; {@code former} is null for a new one. */
+    /** An order changed; {@code previous} is null for a new one. */
     record OrderChanged(Orders.Order current, Orders.Order previous) implements News {}
 
-    /** A planned job changed; the state {@code ENDED} is its last word. */
+    /** A planned job changed; {@code ENDED} is its final state. */
     record JobChanged(Plans.Job job) implements News {}
 }
--- a/src/main/java/plumpost/fleet/OrderRunner.java
+++ b/src/main/java/plumpost/fleet/OrderRunner.java
@@ -22,21 +22,22 @@
 import plumpost.peers.Ledger;
 
 /**
- * Covered orders at one scheduler: it has its front hold what is its own, asks for leases, says what came of them until
- * the log has heard it, takes over what lost schedulers held, in pieces and by room, and as the ledger's owner gives up
- * what was awaited long enough. What it does follows from its copy of the book, so that lost answers do no harm.
+ * Covered orders at one scheduler: passes its own orders to the front that holds them, requests leases, repeats reports
+ * until the log shows them, claims orders of lost schedulers in batches as far as the front has capacity, and, as owner
+ * of the ledger, gives up orders that have been awaited for long enough. What it does follows from its copy of the
+ * replicated state, so that lost answers do no harm.
  */
 final class OrderRunner implements Ledger {
-    /** Orders claimed at once, and settled at once. */
+    /** Maximum number of orders in one entry that claims or releases, and in one that settles. */
     private static final int MAX_CLAIMED = 64;
 
     private static final int MAX_SETTLED = 256;
-    /** What this scheduler has released it does not claim again for so long. */
+    /** A released order is not claimed again for this long; also the interval of the check for unservable orders. */
     private static final double CLAIM_PAUSE_MS = 1000;
 
     private static final byte[] EMPTY_RESULT = new byte[0];
 
-    /** What is to be said of an order until the log shows it. */
+    /** A report on an order that is proposed until the log shows it. */
     private record PendingReport(Event event, int lease, byte[] result) {}
 
     private final Member member;
@@ -48,7 +49,7 @@
     private final Set<String> held = new HashSet<>();
     private final TreeMap<Integer, Set<String>> freeByPriority = new TreeMap<>(Comparator.reverseOrder());
     private final Map<String, Consumer<Boolean>> leaseRequests = new LinkedHashMap<>();
-    /** Leases under which orders are out from here, over the ends of lives. */
+    /** Leases under which this scheduler has handed orders out; they outlast its sessions. */
     private final Map<String, Integer> grantedLeases = new HashMap<>();
 
     private final Map<String, PendingReport> pendingReports = new LinkedHashMap<>();
@@ -66,9 +67,9 @@
         this.covered = covered;
     }
 
-    // ---- what the log says ----
+    // ---- changes of the replicated state ----
 
-    /** Builds what it keeps anew from the view. */
+    /** Rebuilds its indexes from the replicated state. */
     void rebuild() {
         ownOrders.clear();
         pendingHolds.clear();
@@ -78,12 +79,12 @@
         member.state().orders().all().forEach(order -> changed(order, null));
     }
 
-    /** An order stands so now. */
+    /** Handles a change of an order. */
     void changed(Orders.Order current, Orders.Order previous) {
         String id = current.id();
         boolean known = member.state().orders().find(id) != null;
-        boolean over = current.state().ended();
-        boolean own = known && !over && current.state() != State.AWAITED && isOwn(current);
+        boolean ended = current.state().ended();
+        boolean own = known && !ended && current.state() != State.AWAITED && isOwn(current);
         if (own) {
             ownOrders.put(id, current);
         } else {
@@ -98,21 +99,19 @@
                 id,
                 known && Orders.isFree(current));
         setSince(awaitedSince, id, known && current.state() == State.AWAITED);
-        setSince(endedSince, id, known && over);
+        setSince(endedSince, id, known && ended);
         if (!own) {
             pendingReleases.remove(id);
         }
         PendingReport report = pendingReports.get(id);
         if (report != null && report.event == Event.DONE && report.lease == 0 && current.lease() > 0) {
-            report = new PendingReport(
-                    report.event,
-                    current.lease(),
-                    report.result); // it was heard before the copy here knew of its lease
+            // The report came before the local copy of the state knew of the lease.
+            report = new PendingReport(report.event, current.lease(), report.result);
             pendingReports.put(id, report);
         }
         if (report != null
                 && (!known
-                        || over && !(current.state() == State.UNKNOWN && report.event != Event.STALL)
+                        || ended && !(current.state() == State.UNKNOWN && report.event != Event.STALL)
                         || (report.event == Event.GIVE_UP
                                 ? !own
                                 : report.lease > 0
@@ -120,7 +119,7 @@
             pendingReports.remove(id);
         }
         if (!known
-                || over
+                || ended
                 || current.state() == State.TAKEN
                 || current.lease() != grantedLeases.getOrDefault(id, current.lease())) {
             grantedLeases.remove(id);
@@ -130,7 +129,7 @@
         if (granted) {
             grantedLeases.put(id, current.lease());
             if (callback == null) {
-                told(id, Word.HANDED_BACK, EMPTY_RESULT); // it was not wanted any more, and nobody has used it
+                told(id, Word.HANDED_BACK, EMPTY_RESULT); // no longer requested, and unused
             }
         }
         if (callback != null) {
@@ -140,7 +139,7 @@
             held.remove(id);
             holder.drop(id);
         }
-        if (over && holder != null && (previous == null || !previous.state().ended())) {
+        if (ended && holder != null && (previous == null || !previous.state().ended())) {
             holder.ended(known(current, known));
         }
     }
@@ -151,28 +150,28 @@
                 && member.incarnation() > 0;
     }
 
-    private static void setContains(Set<String> set, String id, boolean in) {
-        if (in) {
+    private static void setContains(Set<String> set, String id, boolean contained) {
+        if (contained) {
             set.add(id);
         } else {
             set.remove(id);
         }
     }
 
-    private void setSince(Map<String, Double> map, String id, boolean in) {
-        if (in) {
+    private void setSince(Map<String, Double> map, String id, boolean contained) {
+        if (contained) {
             map.putIfAbsent(id, member.nowMs());
         } else {
             map.remove(id);
         }
     }
 
-    /** Its life is over: what no worker has is called back; what is out is still heard, under its lease. */
+    /** Handles the end of its session: drops orders that no worker has; reports on orders handed out still count. */
     void sessionEnded() {
         ownOrders.clear();
         pendingHolds.clear();
         pendingReleases.clear();
-        List<Consumer<Boolean>> open = List.copyOf(leaseRequests.values());
+        List<Consumer<Boolean>> callbacks = List.copyOf(leaseRequests.values());
         leaseRequests.clear();
         for (String id : List.copyOf(held)) {
             if (!grantedLeases.containsKey(id)) {
@@ -180,17 +179,17 @@
                 holder.drop(id);
             }
         }
-        open.forEach(callback -> callback.accept(false));
+        callbacks.forEach(callback -> callback.accept(false));
     }
 
-    /** Whether nothing is left here that is out or is to be said. */
+    /** Whether no order is handed out from here and no report is pending. */
     boolean finished() {
         return grantedLeases.isEmpty() && pendingReports.isEmpty();
     }
 
-    // ---- what it does ----
+    // ---- actions ----
 
-    /** What is called meanwhile, as the core asks for a lease while it takes an order in, is looked at after it. */
+    /** Proposes what is due. A call made meanwhile, as when the front requests a lease while it is given an order, polls again. */
     void poll() {
         pollAgain = true;
         if (polling || holder == null) {
@@ -223,7 +222,7 @@
         }
         if (!pendingReleases.isEmpty()) {
             List<String> batch = pendingReleases.stream().limit(MAX_CLAIMED).toList();
-            member.proposeOnce("release " + batch.get(0), new Entry.Release(self, batch), order -> {});
+            member.proposeOnce("release " + batch.get(0), new Entry.Release(self, batch), outcome -> {});
         }
         if (member.nowMs() >= nextStrayCheckMs) {
             nextStrayCheckMs = member.nowMs() + CLAIM_PAUSE_MS;
@@ -236,7 +235,7 @@
                 member.proposeOnce(
                         "lease " + id + " " + order.lease(),
                         new Entry.Told(self, id, Event.LEASE, order.lease(), EMPTY_RESULT),
-                        x -> {});
+                        outcome -> {});
             }
         });
         claimFree(self);
@@ -248,13 +247,13 @@
                 new Entry.Told(self, id, report.event, report.lease, report.result),
                 outcome -> {
                     if (outcome != null && !outcome.done()) {
-                        pendingReports.remove(
-                                id, report); // it counts no more: the order is over, or under another lease
+                        // It is obsolete: the order is over, or under another lease.
+                        pendingReports.remove(id, report);
                     }
                 });
     }
 
-    /** What it holds and has no workers for goes to those who have. */
+    /** Releases orders that it has no workers for while another scheduler has; offers refused ones to the front again. */
     private void releaseUnservable() {
         Collection<String> functions = host.functions();
         Set<String> elsewhere = new HashSet<>();
@@ -268,7 +267,8 @@
                     && !held.contains(order.id())
                     && !pendingReports.containsKey(order.id())
                     && !pendingReleases.contains(order.id())) {
-                pendingHolds.add(order.id()); // what was given up here was refused by the log: it is still to be tried
+                // The log refused the report that gave it up: it is still to be tried.
+                pendingHolds.add(order.id());
             }
             if (order.state() == State.TAKEN
                     && !functions.contains(order.function())
@@ -302,10 +302,13 @@
         }
     }
 
-    /** Takes over what nobody holds: each survivor with workers for it its part of the oldest and most urgent, by room. */
+    /**
+     * Claims free orders, the most urgent and then the oldest first, up to the front's capacity. The schedulers that have
+     * workers for a function take turns, so that each claims its share.
+     */
     private void claimFree(SessionId self) {
-        int room = Math.min(MAX_CLAIMED, holder.room());
-        if (room <= 0 || freeByPriority.values().stream().allMatch(Set::isEmpty)) {
+        int capacity = Math.min(MAX_CLAIMED, holder.room());
+        if (capacity <= 0 || freeByPriority.values().stream().allMatch(Set::isEmpty)) {
             return;
         }
         double nowMs = member.nowMs();
@@ -316,26 +319,29 @@
         for (Set<String> candidates : freeByPriority.values()) {
             for (String id : candidates) {
                 Orders.Order order = member.state().orders().find(id);
-                if (ids.size() >= room || !functions.contains(order.function()) || claimPausedUntil.containsKey(id)) {
+                if (ids.size() >= capacity
+                        || !functions.contains(order.function())
+                        || claimPausedUntil.containsKey(id)) {
                     continue;
                 }
-                List<String> able = member.state().sessions().all().stream()
+                List<String> eligible = member.state().sessions().all().stream()
                         .filter(session -> session.state() == Sessions.State.ALIVE
                                 && session.functions().contains(order.function()))
                         .map(Session::name)
                         .toList();
                 int position = positions.merge(order.function(), 1, Integer::sum) - 1;
-                if (!able.isEmpty() && able.get(position % able.size()).equals(member.name())) {
+                if (!eligible.isEmpty()
+                        && eligible.get(position % eligible.size()).equals(member.name())) {
                     ids.add(id);
                 }
-                if (position > MAX_CLAIMED * (able.size() + 1)) {
+                if (position > MAX_CLAIMED * (eligible.size() + 1)) {
                     break;
                 }
             }
         }
-        if (!ids.isEmpty() && member.proposeOnce("claim " + ids.get(0), new Entry.Claim(self, ids), order -> {})) {
+        if (!ids.isEmpty() && member.proposeOnce("claim " + ids.get(0), new Entry.Claim(self, ids), outcome -> {})) {
             member.count("orders_claimed");
-            member.logLine("takes over up to " + ids.size() + " orders that nobody holds, from " + ids.get(0) + " on");
+            member.logLine("claims up to " + ids.size() + " orders without a holder, the first is " + ids.get(0));
         }
     }
 
@@ -345,9 +351,9 @@
         if (!givenUp.isEmpty() || !forgotten.isEmpty()) {
             String key = "settle " + (givenUp.isEmpty() ? forgotten.get(0) : givenUp.get(0));
             if (member.proposeOnce(
-                            key, new Entry.Settle(member.fence(FleetBook.LEDGER), givenUp, forgotten), order -> {})
+                            key, new Entry.Settle(member.fence(FleetBook.LEDGER), givenUp, forgotten), outcome -> {})
                     && !givenUp.isEmpty()) {
-                member.logLine("gives up " + givenUp.size() + " orders whose worker was not heard for "
+                member.logLine("gives up " + givenUp.size() + " orders whose worker has not reported for "
                         + Math.round(covered.awaitMs()) + " ms: " + givenUp.get(0)
                         + (givenUp.size() > 1 ? ", ..." : ""));
             }
@@ -358,7 +364,7 @@
         List<String> ids = new ArrayList<>();
         for (Map.Entry<String, Double> entry : since.entrySet()) {
             if (entry.getValue() + ageMs > member.nowMs() || ids.size() >= MAX_SETTLED) {
-                break; // in the order in which they came
+                break; // the map is ordered by time
             }
             ids.add(entry.getKey());
         }
@@ -466,7 +472,8 @@
             claimPausedUntil.put(id, member.nowMs() + CLAIM_PAUSE_MS);
         } else if (lease == null && (report == Word.STALLED || report == Word.GIVEN_UP || report == Word.FAILED)) {
             pendingReports.put(id, new PendingReport(Event.GIVE_UP, 0, EMPTY_RESULT));
-        } else if (lease != null || report == Word.DONE) { // a worker that reports elsewhere has the latest lease
+        } else if (lease != null || report == Word.DONE) {
+            // A result that arrives at another scheduler than the leaseholder counts for the latest lease.
             pendingReports.put(
                     id,
                     new PendingReport(
--- a/src/main/java/plumpost/fleet/Orders.java
+++ b/src/main/java/plumpost/fleet/Orders.java
@@ -12,30 +12,34 @@
 import plumpost.durable.OrderLife.State;
 
 /**
- * The fleet's ledger: every covered order from its taking to the end of its keeping, as agreed on in the log. An order is
- * held by one life, its holder, or by nobody; what becomes of it follows {@link OrderLife}. A lease, the only right to
- * hand it out, is given to its holder while that life goes on, and is used up by being given: its number never comes
- * again. What was never leased is free when its holder is gone; what was leased is awaited, and then given up as
- * may-have-run, or, where it may run twice, is free again, six leases in all.
+ * The fleet's ledger: every covered order from its acceptance until its outcome is forgotten, as agreed on in the log. An
+ * order is held by one session, its holder, or by none; its states follow {@link OrderLife}. A lease is the only right to
+ * hand an order out: it is granted to the holder while that session runs, and is used up by being granted, so that its
+ * number never recurs. When a holder is gone, an order that it had not leased becomes free. One that it had leased is
+ * awaited; it is then given up, since it may have run, or, if it is repeatable, becomes free again, up to six leases in
+ * total.
  */
 public final class Orders {
-    /** Orders known at once, kept outcomes too, and bytes of bodies and results; one more is refused. */
+    /**
+     * Maximum number of orders, kept outcomes included, and of bytes of their bodies and results; what exceeds them is
+     * refused.
+     */
     static final int MAX_ORDERS = 100_000;
 
     static final long MAX_BYTES = 64L << 20;
-    /** Attempts of a repeatable order, over all schedulers. */
+    /** Maximum number of attempts of a repeatable order, over all schedulers. */
     static final int MAX_LEASES = 6;
 
     /**
-     * An order.
+     * A covered order.
      *
      * @param id the handle that its client was given
-     * @param patienceMs for how long whoever holds it tries
+     * @param patienceMs for how many milliseconds its holder tries
      * @param repeatable whether it may run twice
-     * @param background whether nobody waits for its answer
-     * @param holder who holds it, empty for nobody; {@code incarnation} is the life that does
+     * @param background whether no client waits for its answer
+     * @param holder the scheduler that holds it, empty for none; {@code incarnation} is the session that does
      * @param lease the number of its latest lease, 0 before the first
-     * @param result what its worker made, or said of its failure; empty before its end
+     * @param result the worker's result or error; empty before the order ends
      */
     public record Order(
             String id,
@@ -100,17 +104,17 @@
     private final Map<String, String> byKey = new HashMap<>();
     private long storedBytes;
 
-    /** All, in the order in which they were taken. */
+    /** All orders, in the order in which they were accepted. */
     public Collection<Order> all() {
         return byId.values();
     }
 
-    /** One by its handle, or null. */
+    /** Returns an order by its handle, or null. */
     public Order find(String id) {
         return byId.get(id);
     }
 
-    /** The order under a function and a client's key, open or kept, or null. */
+    /** Returns the order with this function and client's key, open or kept, or null. */
     public Order findByKey(String function, String unique) {
         return byId.get(byKey.getOrDefault(key(function, unique), ""));
     }
@@ -119,7 +123,7 @@
         return function + '\0' + unique;
     }
 
-    /** Takes an order; under a key that is known it is that one, whose handle is told. */
+    /** Accepts an order; if its key is known already the outcome names the handle of that order instead. */
     Outcome take(Entry.Take command, Sessions sessions, Collection<News> events) {
         Order existing = byId.get(command.id());
         existing = existing != null || command.unique().isEmpty()
@@ -153,7 +157,7 @@
         return new Outcome(true, 0, order.id);
     }
 
-    /** One event of an order's life, told by a life that holds it, or that heard its worker. */
+    /** Applies an event of an order, reported by the session that holds it or that received its worker's report. */
     Outcome applyEvent(Entry.Told command, Sessions sessions, Collection<News> events) {
         Order order = byId.get(command.id());
         if (order == null) {
@@ -176,9 +180,10 @@
         OrderLife.Step step = OrderLife.next(order.state, order.lease, command.event(), command.lease());
         if (step == null || command.event() == Event.RECOVER) {
             return Outcome.refused("order " + order.id + " is " + order.state + " under lease " + order.lease + ": "
-                    + command.event() + " under " + command.lease() + " means nothing");
+                    + command.event() + " under " + command.lease() + " does not apply");
         }
-        if (command.event() == Event.GIVE_UP) { // it never ran: nothing is kept, and it may be handed in anew
+        if (command.event() == Event.GIVE_UP) {
+            // It never ran: nothing is kept, and a client may submit it again.
             remove(order);
             events.add(new News.OrderChanged(order.withState(State.FAILED, order.lease, EMPTY_RESULT), order));
             return Outcome.DONE;
@@ -188,8 +193,8 @@
                 (int) step.fence(),
                 step.state() == State.SERVED || step.state() == State.FAILED ? command.result() : order.result);
         if (command.event() == Event.STALL && order.repeatable && order.lease < MAX_LEASES) {
-            next = order.withState(
-                    State.TAKEN, order.lease, order.result); // its holder may try again, under the next lease
+            // Its holder may try again, under the next lease.
+            next = order.withState(State.TAKEN, order.lease, order.result);
         }
         if (next.state == State.TAKEN && !sessionLive) {
             next = next.withHolder("", 0);
@@ -198,11 +203,11 @@
         return Outcome.done(next.lease);
     }
 
-    /** Free orders become a life's, as many as are still free. */
+    /** Makes a session the holder of those of the given orders that are still free. */
     Outcome claim(Entry.Claim command, Sessions sessions, Collection<News> events) {
         if (!sessions.live(command.session().name(), command.session().incarnation())
                 || sessions.of(command.session().name()).state() == Sessions.State.LEAVING) {
-            return Outcome.refused("no such life as " + command.session().name() + "#"
+            return Outcome.refused("no such session as " + command.session().name() + "#"
                     + command.session().incarnation());
         }
         int claimed = 0;
@@ -219,12 +224,12 @@
         return Outcome.done(claimed);
     }
 
-    /** Whether nobody holds an order that was not handed out. */
+    /** Whether an order is neither held nor handed out. */
     static boolean isFree(Order order) {
         return order.state == State.TAKEN && order.holder.isEmpty();
     }
 
-    /** Its holder gives what it has not handed out back. */
+    /** Frees those of the given orders that the session holds and has not handed out. */
     Outcome release(Entry.Release command, Collection<News> events) {
         for (String id : command.ids()) {
             Order order = byId.get(id);
@@ -235,7 +240,7 @@
         return Outcome.DONE;
     }
 
-    /** The ledger's owner says whose worker was waited for long enough, and whose outcome was kept long enough. */
+    /** Gives up the awaited orders, and forgets the ended ones, that the owner of the ledger names. */
     Outcome settle(Entry.Settle command, Collection<News> events) {
         for (String id : command.givenUp()) {
             Order order = byId.get(id);
@@ -257,7 +262,7 @@
         return Outcome.DONE;
     }
 
-    /** A life is over: what it held and had not leased is free, what it had leased is awaited. */
+    /** Handles the end of a session: orders that it had not leased become free, leased ones are awaited. */
     void sessionLost(String name, long incarnation, Collection<News> events) {
         forEachMatching(
                 order -> order.holder.equals(name) && order.incarnation == incarnation && !order.state.ended(),
@@ -268,7 +273,7 @@
                 });
     }
 
-    /** A life ends in order: what it has not handed out is free at once. */
+    /** Frees the orders of a session that shuts down in order, except those that it has handed out. */
     void sessionLeaving(String name, long incarnation, Collection<News> events) {
         forEachMatching(
                 order -> order.state == State.TAKEN && order.holder.equals(name) && order.incarnation == incarnation,
@@ -298,7 +303,7 @@
         events.add(new News.OrderChanged(order, previous));
     }
 
-    /** What a snapshot keeps of it. */
+    /** The part of a snapshot that holds the orders. */
     public record Snapshot(List<Order> orders) {}
 
     Snapshot snapshot() {
--- a/src/main/java/plumpost/fleet/Outcome.java
+++ b/src/main/java/plumpost/fleet/Outcome.java
@@ -1,11 +1,12 @@
 package plumpost.fleet;
 
 /**
- * What applying an entry came to.
+ * The outcome of applying an entry.
  *
- * @param done whether it holds now, by this entry or an equal one before it
- * @param number the incarnation of a join, the fence of a duty, else 0
- * @param words why it was refused, or the handle of a plan
+ * @param done whether the entry's effect holds now, by this entry or by an equal one before it
+ * @param number the incarnation of a join, the fence of a duty, the lease of an order, the number of orders claimed,
+ *     otherwise 0
+ * @param words the reason of a refusal, or the handle of a planned job or an order
  */
 public record Outcome(boolean done, long number, String words) {
     static final Outcome DONE = new Outcome(true, 0, "");
--- a/src/main/java/plumpost/fleet/Plans.java
+++ b/src/main/java/plumpost/fleet/Plans.java
@@ -8,24 +8,25 @@
 import java.util.Map;
 
 /**
- * Jobs that the fleet starts at a time, whichever scheduler took them. Starting one is a deed towards the outside: the
- * owner's {@link Entry.Fire} is its intent, {@link Entry.Begin} the right to hand it out, granted once to one life and
- * used up by being granted, {@link Entry.End} its record. What is found fired and not begun goes to another life; what
- * is found begun by a life that is over is begun anew if it may run twice, and given up as may-have-run if not.
+ * Jobs that the fleet starts at a given time, whichever scheduler accepted them. Starting one is an action with outside
+ * effects, so it takes three entries: {@link Entry.Fire} by the schedule's owner is the intent, {@link Entry.Begin} is
+ * the right to hand the job out, granted once to one session and used up by being granted, and {@link Entry.End} is the
+ * record. When a session ends, a job that is fired and not begun goes to another session; a job that it had begun starts
+ * again if it is repeatable, otherwise it is given up, since it may have run.
  */
 public final class Plans {
-    /** Jobs and bytes held at once; one more is refused, nothing is dropped. */
+    /** Maximum number of jobs, and of bytes of their bodies; what exceeds them is refused, and nothing is dropped. */
     static final int MAX_JOBS = 100_000;
 
     static final long MAX_BYTES = 64L << 20;
-    /** Jobs given up that are remembered for {@code fleet show}. */
+    /** Maximum number of given-up jobs that are remembered for {@code fleet show}. */
     static final int MAX_GIVEN_UP = 256;
 
-    /** Where a job is. */
+    /** The states of a planned job. */
     public enum State {
-        /** It waits for its time or for somebody who has workers for it. */
+        /** It waits for its time, or for a session that has workers for it. */
         WAITING,
-        /** A life was told to run it, and has not begun. */
+        /** It is assigned to a session that has not begun it. */
         FIRED,
         /** It may have run. */
         BEGUN,
@@ -33,7 +34,7 @@
         ENDED
     }
 
-    /** A job; {@code tries} counts how often it was begun. */
+    /** A planned job; {@code attempts} counts how often it was begun. */
     public record Job(
             String id,
             String function,
@@ -68,27 +69,27 @@
     private long bodyBytes;
     private long endedCount;
 
-    /** All that are not over, in the order in which they were taken. */
+    /** All jobs that are not over, in the order in which they were planned. */
     public Collection<Job> all() {
         return byId.values();
     }
 
-    /** A job that is not over, or null. */
+    /** Returns the job with this id if it is not over, otherwise null. */
     public Job find(String id) {
         return byId.get(id);
     }
 
-    /** The open job under a function and a client's key, or null. */
+    /** Returns the open job with this function and client's key, or null. */
     public Job findByKey(String function, String unique) {
         return byId.get(byKey.getOrDefault(key(function, unique), ""));
     }
 
-    /** Ids of the last jobs given up since they may have run. */
+    /** Ids of the last jobs that were given up because they may have run. */
     public List<String> givenUp() {
         return List.copyOf(givenUp);
     }
 
-    /** How many are over, given up ones too. */
+    /** The number of jobs that are over, including those given up. */
     public long ended() {
         return endedCount;
     }
@@ -140,13 +141,16 @@
         }
         if (!sessions.live(command.target(), command.incarnation())
                 || sessions.of(command.target()).state() == Sessions.State.LEAVING) {
-            return Outcome.refused("no such life as " + command.target() + "#" + command.incarnation());
+            return Outcome.refused("no such session as " + command.target() + "#" + command.incarnation());
         }
         update(job.withState(State.FIRED, command.target(), command.incarnation(), command.fence()), events);
         return Outcome.DONE;
     }
 
-    /** Whether a job was given to a life that may not come to it: it has not begun it, so another may have it. */
+    /**
+     * Whether a job is assigned to a session that is not alive and may never begin it; since it has not begun, it may be
+     * assigned to another.
+     */
     static boolean isStalled(Job job, Sessions sessions) {
         return job.state == State.FIRED && sessions.of(job.target).state() != Sessions.State.ALIVE;
     }
@@ -171,7 +175,8 @@
                 || job.state != State.BEGUN
                 || !job.target.equals(command.target())
                 || job.incarnation != command.incarnation()) {
-            return Outcome.refused("job " + command.id() + (job == null ? " is over" : " is not this life's"));
+            return Outcome.refused(
+                    "job " + command.id() + (job == null ? " is over" : " does not belong to this session"));
         }
         if (command.unstarted()) {
             update(job.withState(State.WAITING, "", 0, 0), events);
@@ -190,7 +195,7 @@
         return Outcome.DONE;
     }
 
-    /** A life is over: what it was told goes on elsewhere, what it had begun is begun anew or given up. */
+    /** Handles the end of a session: fired jobs wait again, begun ones wait again if repeatable and are given up if not. */
     void sessionLost(String name, long incarnation, Collection<News> events) {
         for (Job job : List.copyOf(byId.values())) {
             if (job.target.equals(name) && job.incarnation == incarnation) {
@@ -220,7 +225,7 @@
         events.add(new News.JobChanged(job.withState(State.ENDED, job.target, job.incarnation, job.fence)));
     }
 
-    /** What a snapshot keeps of it. */
+    /** The part of a snapshot that holds the planned jobs. */
     public record Snapshot(List<Job> jobs, List<String> givenUp, long ended) {}
 
     Snapshot snapshot() {
--- a/src/main/java/plumpost/fleet/ScheduleRunner.java
+++ b/src/main/java/plumpost/fleet/ScheduleRunner.java
@@ -16,15 +16,15 @@
 import plumpost.peers.Host;
 
 /**
- * Planned jobs at one scheduler: as owner of the schedule it gives what is due to a life that has workers for it; as the
- * one told, it begins a job in the log, hands it in once it has seen that applied, and records its end.
+ * Planned jobs at one scheduler: as owner of the schedule it assigns due jobs to sessions that have workers for them; a
+ * job that is assigned to itself it begins in the log, hands in once it has seen that entry applied, and records its end.
  */
 final class ScheduleRunner {
-    /** Jobs given out and not yet begun, and jobs that one life may have begun: more wait their turn. */
+    /** Maximum number of jobs that are fired and not begun, and of open jobs of one session; further ones wait. */
     private static final int MAX_FIRED = 256;
 
     private static final int MAX_JOBS_PER_SESSION = 1024;
-    /** A life that could not take a job is not asked again for this long. */
+    /** After it could not take a job, this scheduler begins no other for this long. */
     private static final double FULL_PAUSE_MS = 1000;
 
     private final Member member;
@@ -33,13 +33,13 @@
             new TreeSet<>(Comparator.comparingDouble(Job::startMs).thenComparing(Job::id));
     private final Map<String, Job> openJobs = new LinkedHashMap<>();
     private final Map<String, Job> ownJobs = new LinkedHashMap<>();
-    /** The schedule's jobs at each scheduler, as the log says, and those that it is about to say so of. */
+    /** Open jobs by scheduler: those that the log shows, and those whose entries are proposed. */
     private final Map<String, Integer> load = new HashMap<>();
 
     private final Map<String, Integer> pendingLoad = new HashMap<>();
     private final Set<String> handedOut = new HashSet<>();
     private final Map<String, Boolean> pendingEnds = new LinkedHashMap<>();
-    /** What it has asked to begin and that still stands as told to it: the log may yet say that it is begun here. */
+    /** Jobs whose {@link Entry.Begin} is proposed and not applied: the log may still show that they are begun here. */
     private final Set<String> beginning = new HashSet<>();
 
     private double fullUntilMs;
@@ -50,7 +50,7 @@
         this.host = host;
     }
 
-    /** Builds what it keeps anew from the view. */
+    /** Rebuilds its indexes from the replicated state. */
     void rebuild() {
         waiting.clear();
         openJobs.clear();
@@ -61,7 +61,7 @@
         beginning.retainAll(ownJobs.keySet());
     }
 
-    /** A job stands so now. */
+    /** Handles a change of a job. */
     void changed(Job job) {
         Job previous = openJobs.remove(job.id());
         if (previous != null) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Its life is over: what it has not handed to a worker is called back; what ends now belongs to nobody here. */
+    /** Handles the end of its session: recalls jobs that no worker has; the end of a job is no longer recorded from here. */
     void sessionEnded() {
         handedOut.forEach(host::callBack);
         handedOut.clear();
@@ -95,7 +95,10 @@
         beginning.clear();
     }
 
-    /** Whether nothing is left here that it was told to run, nor on its way: a life that leaves first gives that up. */
+    /**
+     * Whether no job of this session is begun or about to begin: a session that left earlier would have such a job given
+     * up.
+     */
     boolean finished() {
         return handedOut.isEmpty()
                 && pendingEnds.isEmpty()
@@ -104,17 +107,18 @@
                         .noneMatch(job -> job.state() == State.BEGUN && job.incarnation() == member.incarnation());
     }
 
-    /** A job that was handed in here has ended, or nobody has seen it. */
+    /** A job that was handed in here has ended, or comes back unstarted. */
     void ended(String id, boolean unstarted) {
         if (handedOut.contains(id)) {
             if (unstarted) {
-                member.logLine("hands " + id + " back, nobody has seen it");
+                member.logLine("returns " + id + " unstarted");
             }
             pendingEnds.put(id, unstarted);
             poll();
         }
     }
 
+    /** Assigns due jobs if it owns the schedule, and moves its own jobs on. */
     void poll() {
         if (member.fence(FleetBook.SCHEDULE) > 0) {
             fireDue();
@@ -137,7 +141,7 @@
                     && !handedOut.contains(job.id())
                     && !pendingEnds.containsKey(job.id())) {
                 if (member.stopping()) {
-                    pendingEnds.put(job.id(), true); // begun as the end was told: nobody has seen it, it goes back
+                    pendingEnds.put(job.id(), true); // begun during the shutdown: no worker has it, so it is returned
                 } else {
                     handOut(job);
                 }
@@ -157,7 +161,7 @@
         }
     }
 
-    /** The right to run it is this life's and is used up by this call; the lease is asked once more just before. */
+    /** Hands a job in, which uses up this session's right to run it; checks the lease once more right before. */
     private void handOut(Job job) {
         if (!member.mayAct()) {
             return;
@@ -173,11 +177,11 @@
             pendingEnds.put(job.id(), true);
             fullUntilMs = member.nowMs() + FULL_PAUSE_MS;
             member.count("handed_back");
-            member.logLine("cannot take " + job.id() + " now: it goes back");
+            member.logLine("cannot take " + job.id() + " now: it is returned to the schedule");
         }
     }
 
-    /** What is due and waits, and what was given to a life that may not come to it. */
+    /** Returns the jobs that are due, and those that are assigned to a session that may never begin them. */
     private List<Job> due() {
         double nowMs = member.unixTimeMs();
         List<Job> jobs = new ArrayList<>();
@@ -210,12 +214,12 @@
                                     job.id(), member.fence(FleetBook.SCHEDULE), target.name(), target.incarnation()),
                             outcome -> pendingLoad.merge(target.name(), -1, Integer::sum))) {
                 proposed++;
-                pendingLoad.merge(target.name(), 1, Integer::sum); // lest one gets all that is due together
+                pendingLoad.merge(target.name(), 1, Integer::sum); // spreads jobs that are due together
             }
         }
     }
 
-    /** Who has workers for a function and the least of the schedule's jobs; null while nobody has. */
+    /** Returns the least loaded session that has workers for a function, or null if there is none. */
     private Session selectTarget(String function) {
         List<Session> candidates = member.state().sessions().all().stream()
                 .filter(session -> session.state() == Sessions.State.ALIVE
--- a/src/main/java/plumpost/fleet/SessionRunner.java
+++ b/src/main/java/plumpost/fleet/SessionRunner.java
@@ -6,11 +6,12 @@
 import plumpost.peers.Host;
 
 /**
- * A scheduler's life in the fleet: joined as an incarnation, heard by the leader at intervals, with a lease that ends
- * within two thirds of {@code lostMs} of the last beat that was answered. When it is over the next one is joined.
+ * Keeps a session of this scheduler in the fleet: joins as an incarnation and sends the leader heartbeats. The lease ends
+ * two thirds of {@code lostMs} after the sending of the last heartbeat that was answered. When a session has ended the
+ * next one is joined.
  */
 final class SessionRunner {
-    /** A join that was not answered is proposed again, and a change of functions is told, no sooner than this. */
+    /** A join is not proposed again, and a change of functions is not reported again, sooner than these intervals. */
     private static final double JOIN_RETRY_MS = 500;
 
     private static final double FUNCTIONS_REPORT_MS = 250;
@@ -40,17 +41,17 @@
         this.offers = List.copyOf(offers);
     }
 
-    /** Its number, or 0 between two lives. */
+    /** The incarnation of the present session, or 0 between two sessions. */
     long incarnation() {
         return incarnation;
     }
 
-    /** Whether it goes on as far as it knows: a leader has heard it within its lease. */
+    /** Whether the session runs as far as this process knows: a leader has received its heartbeat within the lease. */
     boolean holdsLease(double nowMs) {
         return incarnation > 0 && nowMs < leaseEndMs;
     }
 
-    /** Joins, or lets the leader hear it, when it is time. */
+    /** Joins, or sends a heartbeat, when it is time. */
     void tick(double nowMs) {
         if (incarnation == 0) {
             if (!joining && !member.stopping() && nowMs >= nextJoinMs) {
@@ -64,7 +65,7 @@
                             config.self().name(),
                             currentIncarnation,
                             nowMs - lastHeardMs,
-                            heard -> onHeartbeatReply(currentIncarnation, nowMs, heard));
+                            received -> onHeartbeatReply(currentIncarnation, nowMs, received));
         }
     }
 
@@ -95,26 +96,26 @@
                         });
     }
 
-    private void onHeartbeatReply(long heartbeatIncarnation, double sentMs, Boolean heard) {
-        if (heartbeatIncarnation != incarnation || heard == null) {
+    private void onHeartbeatReply(long heartbeatIncarnation, double sentMs, Boolean received) {
+        if (heartbeatIncarnation != incarnation || received == null) {
             return;
         }
-        if (heard) {
+        if (received) {
             lastHeardMs = member.nowMs();
             leaseEndMs = Math.max(leaseEndMs, sentMs + config.lostMs() * 2 / 3);
         } else {
-            member.sessionEnded("the fleet took it for lost");
+            member.sessionEnded("the leader reports that it has ended");
         }
     }
 
-    /** It is over; the next one is joined at once. */
+    /** Forgets the session, which has ended; the next one is joined at once. */
     void reset() {
         incarnation = 0;
         leaseEndMs = 0;
         nextJoinMs = member.nowMs();
     }
 
-    /** Tells which functions have workers here, where that has changed. */
+    /** Reports which functions have workers here, if that has changed. */
     void reportFunctions(double nowMs) {
         List<String> functions = nowMs < nextFunctionsReportMs
                 ? reportedFunctions
--- a/src/main/java/plumpost/fleet/Sessions.java
+++ b/src/main/java/plumpost/fleet/Sessions.java
@@ -8,30 +8,36 @@
 import plumpost.fleet.Entry.Offer;
 import plumpost.fleet.Entry.Verdict;
 
-/** Who belongs to the fleet: the latest life of each scheduler, and the data directories that may never come back. */
+/** The members of the fleet: the latest session of each scheduler, and the data directories that may not join again. */
 public final class Sessions {
-    /** Schedulers known at once; those that left are forgotten for newcomers, the rest is removed by command. */
+    /**
+     * Maximum number of schedulers known at a time. When a newcomer would exceed it, those that have left or were removed
+     * are forgotten; all others stay until an operator removes them.
+     */
     static final int MAX_SESSIONS = 1024;
-    /** Data directories remembered as removed; the oldest are forgotten first, which a thousand removals later is safe enough. */
+    /**
+     * Maximum number of removed data directories that are remembered. The oldest is forgotten first: a thousand removals
+     * later its directory is not expected back.
+     */
     static final int MAX_REMOVED = 1024;
 
-    /** What a life can be in. */
+    /** The states of a session. */
     public enum State {
-        /** Heard of late. */
+        /** Its heartbeats arrive in time. */
         ALIVE,
-        /** Not heard for a while: it keeps its duties and gets no new ones. */
+        /** Its heartbeats are late, or its copy of the state lags: it keeps its duties and gets no new ones. */
         SUSPECT,
-        /** It ends in order: it has no duties any more and finishes what it was told to run. */
+        /** It is shutting down in order: it has no duties any more and finishes the jobs assigned to it. */
         LEAVING,
-        /** Not heard for too long: its life is over. */
+        /** Its heartbeats have been missing for too long: the session is over. */
         LOST,
-        /** It ended in order. */
+        /** It shut down in order. */
         LEFT,
-        /** Taken out by command. */
+        /** An operator removed its scheduler. */
         REMOVED
     }
 
-    /** One life; see {@link Entry.Join}. */
+    /** One session of a scheduler, as started by an {@link Entry.Join}. */
     public record Session(
             String name,
             String site,
@@ -43,7 +49,7 @@
             long incarnation,
             State state,
             List<String> functions) {
-        /** Whether this life goes on, as far as the fleet has agreed. */
+        /** Whether the session is still running, according to the log. */
         public boolean live() {
             return state == State.ALIVE || state == State.SUSPECT || state == State.LEAVING;
         }
@@ -62,23 +68,23 @@
     private long lastIncarnation;
     private int format = 1;
 
-    /** All, by name. */
+    /** The latest session of every scheduler, by name. */
     public Collection<Session> all() {
         return byName.values();
     }
 
-    /** The latest life of a name, or null. */
+    /** Returns the latest session of a scheduler, or null. */
     public Session of(String name) {
         return byName.get(name);
     }
 
-    /** Whether just this life goes on. */
+    /** Whether this very session is still running, according to the log. */
     public boolean live(String name, long incarnation) {
         Session session = byName.get(name);
         return session != null && session.incarnation == incarnation && session.live();
     }
 
-    /** The newest record format that every scheduler reads which may still read the log. */
+    /** The newest record format that is read by every scheduler which may still read the log. */
     public int reads() {
         return byName.values().stream()
                 .filter(session -> session.state != State.REMOVED && session.state != State.LEFT)
@@ -87,7 +93,7 @@
                 .orElse(format);
     }
 
-    /** The record format that the fleet writes: it is only ever raised. */
+    /** The record format that the fleet writes; it is only ever raised. */
     public int format() {
         return format;
     }
@@ -104,7 +110,7 @@
         Session previous = byName.get(command.name());
         if (removedDirectories.contains(command.directoryId())) {
             return Outcome.refused("the data directory of " + command.name()
-                    + " was removed from the fleet: it starts anew on an" + " empty one");
+                    + " was removed from the fleet: it must start with an empty one");
         }
         if (command.maxFormat() < format) {
             return Outcome.refused("the fleet writes record format " + format + ", the program of " + command.name()
@@ -144,7 +150,7 @@
             return Outcome.refused("term " + command.term() + " is over");
         }
         if (!live(command.name(), command.incarnation())) {
-            return Outcome.refused("no such life");
+            return Outcome.refused("no such session");
         }
         if (command.verdict() == Verdict.LOST) {
             changeState(command.name(), State.LOST, events);
@@ -179,7 +185,7 @@
     Outcome serves(Entry.Serves command, Collection<News> events) {
         Session previous = byName.get(command.name());
         if (!live(command.name(), command.incarnation())) {
-            return Outcome.refused("no such life");
+            return Outcome.refused("no such session");
         }
         byName.put(
                 previous.name,
@@ -206,7 +212,7 @@
         }
     }
 
-    /** What a snapshot keeps of it. */
+    /** The part of a snapshot that holds the sessions. */
     public record Snapshot(List<Session> sessions, List<String> removedDirectories, long lastIncarnation, int format) {}
 
     Snapshot snapshot() {
--- a/src/main/java/plumpost/peers/Fleet.java
+++ b/src/main/java/plumpost/peers/Fleet.java
@@ -6,77 +6,78 @@
 import plumpost.net.LoopContext;
 
 /**
- * What a scheduler has of its fleet where its file has {@code peers}: the rest of the program sees only this. All calls
- * come from the scheduler's loop, and so do all that it calls back.
+ * The fleet as the rest of the program sees it, where the configuration has {@code peers}. All calls are made on the
+ * scheduler's loop, and so are all callbacks.
  */
 public interface Fleet {
     /**
-     * A job that starts at a time.
+     * A planned job.
      *
      * @param id the handle that its client was given
-     * @param atMs Unix milliseconds
+     * @param atMs when it starts, in Unix milliseconds
      * @param repeatable whether it may run twice
      */
     record Job(String id, String function, String unique, byte[] body, double atMs, boolean repeatable) {}
 
-    /** What became of a wish: agreed on, refused by the fleet, or not known: there is no majority, or none in time. */
+    /** The answer to a request: agreed on, refused by the fleet, or not known, as no majority answered in time. */
     record Said(boolean agreed, boolean known, String words) {}
 
-    /** Makes fleets; found by name, since what it stands on is on no class path while peers are off. */
+    /** Creates fleets; loaded by name, since its libraries are on no class path while peers are off. */
     interface Maker {
         /**
-         * A fleet that has not begun; bad input where the data directory is not this scheduler's.
+         * Creates a fleet that takes part once {@link Fleet#begin} is called; throws bad input if the data directory is
+         * not this scheduler's.
          *
-         * @param loopExecutor has something run on the scheduler's loop
+         * @param loopExecutor runs a task on the scheduler's loop
          */
         Fleet make(PeersConfig config, Host host, LoopContext context, Consumer<Runnable> loopExecutor);
 
-        /** Runs a command against a fleet that runs: show, yield or remove; the answer's lines, or bad input. */
+        /** Runs show, yield or remove against a running fleet; returns the lines of the answer, or throws bad input. */
         String call(PeersConfig config, String command, String argument);
     }
 
-    /** Joins, and from now on takes part. */
+    /** Joins the fleet and takes part from now on. */
     void begin();
 
-    /** Takes a route node out by hand, or calls it back, for the whole fleet. */
-    void ban(String node, boolean out, Consumer<Said> callback);
+    /** Bans a route node by hand for the whole fleet, or lifts the ban. */
+    void ban(String node, boolean banned, Consumer<Said> callback);
 
-    /** Plans a job; agreed, the words are the id that it is known by, another's where its key is planned already. */
+    /** Plans a job; if agreed the words are its id, or that of the job that is already planned with the same key. */
     void plan(Job job, Consumer<Said> callback);
 
-    /** The ledger of covered orders, or null where the file covers none. */
+    /** The ledger of covered orders, or null if the configuration covers none. */
     Ledger ledger();
 
-    /** Calls a planned job off that nobody was told to run. */
+    /** Cancels a planned job that has not been assigned to any scheduler. */
     void callOff(String id, Consumer<Said> callback);
 
-    /** The planned job of an id that is not over, as far as is known here, or null. */
+    /** Returns the planned job with this id that is not over, as far as is known here, or null. */
     Job planned(String id);
 
-    /** The ids of all planned jobs that nobody was told to run yet. */
+    /** Returns the ids of all planned jobs that have not been assigned to any scheduler. */
     List<String> plannedIds();
 
-    /** The planned job under a function and a client's key that is not over, or null. */
+    /** Returns the planned job with this function and client's key that is not over, or null. */
     Job planned(String function, String unique);
 
-    /** Whether a job that is not over has been given to somebody. */
+    /** Whether a job that is not over has been assigned to a scheduler. */
     boolean fired(String id);
 
-    /** A job that this scheduler was told to run has ended, or comes back unstarted and is to be run elsewhere. */
+    /** A job that was assigned to this scheduler has ended, or comes back unstarted and is to run elsewhere. */
     void ended(String id, boolean unstarted);
 
-    /** Whether what its data directory holds is known here: before that nothing is to be served. */
+    /** Whether the content of its data directory has been read: nothing may be served before. */
     boolean ready();
 
-    /** Discovery itself told this process a line of its list. */
+    /** Discovery sent this process a line of the node list. */
     void heard(String line, long seq, boolean whole);
 
-    /** The scheduler ends: what it does for the fleet is passed on at once. */
+    /** The scheduler shuts down: its duties are passed on at once. */
     void stop();
 
-    /** The scheduler, which ends, has no open job any more. */
+    /** The scheduler, which is shutting down, has no open job any more. */
     void idle();
 
-    /** Whether all is passed on, and the log closed. */
+    /** Whether it has left the fleet and closed the log. */
     boolean quiet();
 }
--- a/src/main/java/plumpost/peers/Host.java
+++ b/src/main/java/plumpost/peers/Host.java
@@ -2,29 +2,29 @@
 
 import java.util.Collection;
 
-/** What a fleet asks of its scheduler; called on the scheduler's loop. */
+/** What the fleet requires of its scheduler; called on the scheduler's loop. */
 public interface Host {
-    /** A route node is out by hand, or called back, for the whole fleet. */
-    void banned(String node, boolean out);
+    /** A route node was banned by hand for the whole fleet, or its ban was lifted. */
+    void banned(String node, boolean banned);
 
-    /** The functions that have workers here now. */
+    /** The functions that currently have workers here. */
     Collection<String> functions();
 
     /**
-     * Hands a job in that is this scheduler's to run; its end is told by {@link Fleet#ended}. False where it cannot be
-     * taken now: nobody has seen it.
+     * Submits a job that is assigned to this scheduler; its end is reported by {@link Fleet#ended}. Returns false if it
+     * cannot be accepted now, in which case no worker has it.
      */
     boolean run(Fleet.Job job);
 
-    /** A job that it was told to run is not its any more: where no worker has it, it is called off unstarted. */
+    /** Recalls a job that is no longer assigned to this scheduler: if no worker has it, it is cancelled unstarted. */
     void callBack(String id);
 
-    /** Discovery's word, as the owner of its duty has it: one line of the node list. */
+    /** Delivers one line of the node list, as reported by the owner of the discovery duty. */
     void told(String line);
 
-    /** Whether this scheduler is to ask discovery itself from now on, and for the whole list anew. */
+    /** Sets whether this scheduler queries discovery itself from now on, and whether it requests the whole list anew. */
     void ask(boolean itself, boolean whole);
 
-    /** Whether discovery, asked by this process, is heard. */
+    /** Whether discovery answers the queries of this process. */
     boolean hears();
 }
--- a/src/main/java/plumpost/peers/Ledger.java
+++ b/src/main/java/plumpost/peers/Ledger.java
@@ -3,18 +3,18 @@
 import java.util.function.Consumer;
 
 /**
- * The fleet's ledger of covered orders as a front sees it: what is taken here is known everywhere, goes on elsewhere when
- * this scheduler is lost, and is handed out only under a right that is granted once. All calls come from the scheduler's
- * loop, and so do all that it calls back.
+ * The fleet's ledger of covered orders as a front sees it: an order that is accepted here is known to all schedulers,
+ * continues elsewhere if this scheduler is lost, and is handed out only under a lease that is granted once. All calls are
+ * made on the scheduler's loop, and so are all callbacks.
  */
 public interface Ledger {
     /**
-     * An order.
+     * A covered order.
      *
      * @param id the handle that its client is given
-     * @param patienceMs for how long whoever holds it tries
+     * @param patienceMs for how many milliseconds its holder tries
      * @param repeatable whether it may run twice
-     * @param background whether nobody waits for its answer
+     * @param background whether no client waits for its answer
      */
     record Order(
             String id,
@@ -26,82 +26,85 @@
             boolean repeatable,
             boolean background) {}
 
-    /** Where an order stands, as far as is known here. */
+    /** The stages of an order, as far as is known here. */
     enum Stage {
         /** No worker has it. */
         HELD,
         /** It may have run. */
         OUT,
-        /** Its worker made its result. */
+        /** Its worker returned a result. */
         SERVED,
-        /** Its worker failed it. */
+        /** Its worker reported a failure. */
         FAILED,
-        /** Nobody knows whether it ran. */
+        /** It is not known whether it ran. */
         UNKNOWN,
-        /** It never ran and is known no more: it may be handed in anew. */
+        /** It never ran and has been forgotten: a client may submit it again. */
         REFUSED
     }
 
     /** An order's stage and its result, empty before its end. */
     record Known(String id, Stage stage, byte[] result) {
-        /** Whether that is its final answer. */
+        /** Whether the order has its final answer. */
         public boolean ended() {
             return stage.ordinal() >= Stage.SERVED.ordinal();
         }
     }
 
-    /** What is said of an order. */
+    /** The reports on an order. */
     enum Word {
-        /** The right was not used: no worker has seen it. */
+        /** The lease was not used: no worker has the order. */
         HANDED_BACK,
-        /** Its worker made its result. */
+        /** Its worker returned a result. */
         DONE,
-        /** Its worker failed it. */
+        /** Its worker reported a failure. */
         FAILED,
-        /** Its worker is lost, or its time is up. */
+        /** Its worker is lost, or its time has run out. */
         STALLED,
-        /** It never ran and is not to be tried any more. */
+        /** It never ran and is not tried any more. */
         GIVEN_UP,
-        /** It never ran and is to be tried by another, or later. */
+        /** It never ran and is to be tried by another scheduler, or later. */
         RELEASED
     }
 
     /** A front that holds orders. */
     interface Holder {
-        /** An order is this scheduler's: it tries it until it says what came of it. False where it cannot. */
+        /** Tries an order, now held by this scheduler, until its outcome is reported. Returns false if it cannot. */
         boolean hold(Order order);
 
-        /** An order is not this scheduler's any more: nothing is said of it, and no worker gets it. */
+        /** Drops an order that this scheduler no longer holds: nothing is reported on it, and no worker gets it. */
         void drop(String id);
 
-        /** An order has its final answer: whoever waits for it here is told. */
+        /** An order has its final answer, which goes to the clients that wait for it here. */
         void ended(Known order);
 
-        /** How many more orders it could hold. */
+        /** The number of further orders that it could hold. */
         int room();
     }
 
-    /** Whether the file covers a class. */
+    /** Whether the configuration covers a class. */
     boolean covers(String className);
 
-    /** The front that holds orders from now on. */
+    /** Sets the front that holds orders from now on. */
     void at(Holder holder);
 
-    /** Takes an order; agreed, the words are its handle, another's where its key is known already. */
+    /** Accepts an order; if agreed the words are its handle, or that of the order already known with the same key. */
     void take(Order order, Consumer<Fleet.Said> callback);
 
-    /** The order of a handle, or null. */
+    /** Returns the status of the order with this handle, or null. */
     Known known(String id);
 
-    /** The order under a function and a client's key, or null. */
+    /** Returns the status of the order with this function and client's key, or null. */
     Known known(String function, String unique);
 
-    /** Asks for the right to hand an order out once; then says whether it was granted, or is another's or over. */
+    /**
+     * Requests the right to hand an order out once. The callback receives whether it was granted; it is not if another
+     * scheduler holds the order or the order is over.
+     */
     void lease(String id, Consumer<Boolean> callback);
 
-    /** An attempt of an order that may run twice has ended without an answer: its holder tries again, under a new lease. */
+    /** An attempt of a repeatable order ended without an answer: its holder tries again, under a new lease. */
     void tryAgain(String id);
 
-    /** Says what came of an order, by whoever holds it or heard its worker. */
+    /** Reports on an order, by the scheduler that holds it or that received its worker's report. */
     void told(String id, Word word, byte[] result);
 }
--- a/src/main/java/plumpost/peers/Peers.java
+++ b/src/main/java/plumpost/peers/Peers.java
@@ -12,8 +12,8 @@
 import plumpost.config.Json.BadInput;
 
 /**
- * Brings the fleet's part of the program in where a file has {@code peers}. Its engine's libraries lie in {@code
- * lib/fleet} beside the jar and are on no class path: while peers are off none of them is opened.
+ * Loads the fleet's part of the program if the configuration has {@code peers}. The libraries of its engine are in
+ * {@code lib/fleet} beside the jar and on no class path, so that none of them is opened while peers are off.
  */
 public final class Peers {
     private static final String MAKER_CLASS = "plumpost.fleet.engine.FleetMaker";
@@ -21,7 +21,7 @@
 
     private Peers() {}
 
-    /** The maker of fleets; bad input where the libraries are not there. */
+    /** Loads the class that creates fleets; throws bad input if the libraries are missing. */
     public static Fleet.Maker maker() {
         try {
             Path jar = Path.of(Peers.class
@@ -59,7 +59,7 @@
         return library.toUri().toURL();
     }
 
-    /** Loads the fleet's part itself, since that must see the libraries; all else comes from the program. */
+    /** Loads the fleet's packages itself, since they must see the libraries; the parent loads all other classes. */
     private static final class FleetClassLoader extends URLClassLoader {
         FleetClassLoader(URL[] urls, ClassLoader parent) {
             super(urls, parent);
--- a/src/test/java/plumpost/fleet/FleetBookTest.java
+++ b/src/test/java/plumpost/fleet/FleetBookTest.java
@@ -15,7 +15,7 @@
 import plumpost.fleet.Entry.Offer;
 import plumpost.fleet.Entry.Verdict;
 
-/** The fleet's book, its records' form, and the leader's ear. */
+/** The fleet's replicated state, its encoding, and the leader's failure detector. */
 class FleetBookTest {
     private final FleetBook state = new FleetBook();
     private final List<News> events = new ArrayList<>();
@@ -43,7 +43,7 @@
         return state.duties().find(duty).owner();
     }
 
-    /** Guards who gets what: the site's own first, then who has fewest; sticky, and every change under a higher fence. */
+    /** Duties go to their site first, then to the least loaded; they are sticky, and every change raises the fence. */
     @Test
     void dutiesPreferTheirSiteStayWithTheirOwnerAndAreBalanced() {
         long a = join("a", "north", "1");
@@ -55,34 +55,36 @@
         assertThat(state.duties().find("discovery/south").fence()).isGreaterThan(fence);
         join("c", "north", "1");
         assertThat(owner("schedule") + owner("discovery/north"))
-                .as("a gap of two moves one")
+                .as("a difference of two moves one duty")
                 .contains("c")
                 .contains("a");
         String before = state.duties().all().toString();
         join("d", "north", "1");
         assertThat(state.duties().all().toString()).as("sticky").isEqualTo(before);
         apply(new Entry.Leave("b", b, false));
-        assertThat(state.sessions().live("b", b)).as("it finishes what it has").isTrue();
+        assertThat(state.sessions().live("b", b))
+                .as("a leaving session finishes its work")
+                .isTrue();
         assertThat(owner("discovery/south")).isEqualTo("d");
         assertThat(join("a", "north", "1")).as("the same process joins once").isEqualTo(a);
         assertThat(join("a", "north", "2")).isGreaterThan(a);
     }
 
-    /** Guards against a leader that was stopped: what it thinks of others under its old term is not believed. */
+    /** A leader that was suspended and replaced meanwhile proposes verdicts under its old term, which must be refused. */
     @Test
     void verdictsOfAnOldTermAreRefused() {
         long a = join("a", "north", "1");
         assertThat(apply(new Entry.Judge("a", a, Verdict.LOST, 6)).done()).isFalse();
         assertThat(apply(new Entry.Judge("a", a, Verdict.SUSPECT, 7)).done()).isTrue();
-        assertThat(owner("schedule")).as("a suspect keeps its duties").isEqualTo("a");
+        assertThat(owner("schedule")).as("a suspect session keeps its duties").isEqualTo("a");
         assertThat(apply(new Entry.Judge("a", a, Verdict.LOST, 7)).done()).isTrue();
         assertThat(owner("schedule")).isEmpty();
         assertThat(apply(new Entry.Judge("a", a, Verdict.ALIVE, 7)).done())
-                .as("a lost life stays lost")
+                .as("a lost session stays lost")
                 .isFalse();
     }
 
-    /** Guards the fences of all that an owner does inside the log, and the removal of a scheduler for good. */
+    /** Entries of an owner count only under its present fence, and a removed data directory cannot join again. */
     @Test
     void oldFencesAndRemovedDataDirectoriesAreRefused() {
         join("a", "north", "1");
@@ -110,7 +112,10 @@
         assertThat(events).filteredOn(n -> n instanceof News.EntryRefused).hasSize(5);
     }
 
-    /** Guards one run for one key, and what becomes of what a lost life had: told goes on, begun once is given up. */
+    /**
+     * Jobs with equal keys are one job. When a session is lost its fired jobs go on elsewhere, and of its begun jobs the
+     * repeatable ones wait again and the others are given up.
+     */
     @Test
     void plannedJobsOfALostSessionAreReassignedOrGivenUp() {
         long a = join("a", "north", "1");
@@ -129,20 +134,20 @@
         apply(new Entry.Judge("a", a, Verdict.LOST, 7));
         assertThat(state.plans().givenUp()).containsExactly("begun");
         assertThat(apply(new Entry.Begin("told", "a", a)).done())
-                .as("a lost life begins nothing")
+                .as("a lost session begins nothing")
                 .isFalse();
         fence = state.duties().find("schedule").fence();
         assertThat(apply(new Entry.Fire("told", fence, "b", b)).done()).isTrue();
         assertThat(apply(new Entry.Begin("told", "b", b)).done()).isTrue();
         assertThat(apply(new Entry.Begin("told", "b", b)).done())
-                .as("a right is used up")
+                .as("a begin is granted once")
                 .isFalse();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isTrue();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isFalse();
         assertThat(state.plans().all()).extracting(Plans.Job::id).containsExactly("again");
     }
 
-    /** Guards snapshots and records: both give back what went in, and what is newer or damaged is refused loudly. */
+    /** Snapshots and entries round-trip; those of a newer format and damaged ones are refused with a message. */
     @Test
     void snapshotsAndEntriesRoundTripAndNewerOrDamagedOnesAreRefused() throws Exception {
         plannedJobsOfALostSessionAreReassignedOrGivenUp();
@@ -157,9 +162,7 @@
         long fence = other.duties().find("schedule").fence();
         other.apply(new Entry.Yield("schedule", fence), 7, events);
         other.apply(new Entry.Join("n", "north", "d", true, "1", 1, List.of(new Offer("new", ""))), 7, events);
-        assertThat(other.duties().find("new").fence())
-                .as("no fence is used again")
-                .isGreaterThan(fence);
+        assertThat(other.duties().find("new").fence()).as("no fence is reused").isGreaterThan(fence);
         byte[] encoded = FleetCodec.bytes(new Entry.Ban("n1", true), 1);
         assertThat(FleetCodec.entry(encoded)).isEqualTo(new Entry.Ban("n1", true));
         byte[] newer = encoded.clone();
@@ -173,7 +176,7 @@
                 .isInstanceOf(FleetCodec.Unreadable.class);
     }
 
-    /** Guards the record format: it is raised once all read it, never lowered, and then an older program stays out. */
+    /** The record format rises once all members read it and never falls; a program that does not read it cannot join. */
     @Test
     void theFormatIsRaisedOnceEveryMemberReadsIt() {
         join("a", "north", "1");
@@ -193,7 +196,7 @@
         assertThat(out.toByteArray()[1]).as("the snapshot's format").isEqualTo((byte) 2);
     }
 
-    /** Guards the reader of the log: whatever bytes come, it gives an entry or says that they are none. */
+    /** Whatever the bytes are, the decoder returns an entry or throws an error with a message. */
     @Property(tries = 300)
     void arbitraryBytesDecodeOrFailAsUnreadable(@ForAll byte[] randomBytes, @ForAll int seed) {
         Random random = new Random(seed);
@@ -210,7 +213,7 @@
         }
     }
 
-    /** Guards the leader's ear: new in office or stopped for a while, it calls nobody lost for what it did not hear. */
+    /** A new leader, or one that was suspended, must not mark sessions as lost for heartbeats that it could not receive. */
     @Test
     void aLeaderThatWasSuspendedCountsSilenceAnew() {
         long a = join("a", "north", "1");
@@ -222,7 +225,7 @@
         monitor.beat("a", a, 50_900, 0);
         assertThat(monitor.look(state.sessions().all(), 7, 51_000)).isEmpty();
         assertThat(monitor.look(state.sessions().all(), 7, 90_000))
-                .as("stopped for 39 s")
+                .as("suspended for 39 s")
                 .isEmpty();
         List<Entry> proposals = new ArrayList<>();
         for (double now = 90_100; now <= 91_500 && proposals.size() < 2; now += 100) {
@@ -235,7 +238,7 @@
         assertThat(state.sessions().of("a").state()).isEqualTo(Sessions.State.LOST);
         join("a", "north", "2");
         assertThat(monitor.look(state.sessions().all(), 7, 91_600))
-                .as("a new life's time runs from when it is seen")
+                .as("silence of a new session counts from when it is first seen")
                 .isEmpty();
     }
 }
--- a/src/test/java/plumpost/fleet/FleetModel.java
+++ b/src/test/java/plumpost/fleet/FleetModel.java
@@ -13,20 +13,21 @@
 import plumpost.fleet.Plans.State;
 
 /**
- * A small model checker of the book and of those who act by it: three schedulers, two duties and one job, an order that
- * must not run twice or a plan that may, breadth first, each state once. Any scheduler may at any moment be called lost, rightly or
- * not, which stands for pauses, cuts and drift of any length; it may crash and begin a new life; what it sees of the log
- * may be as old as it likes; what it has proposed may be applied at any later moment, or be lost.
+ * A small model checker of the replicated state and of the schedulers that act on it. It explores three schedulers, two
+ * duties and one job, either an order that must not run twice or a repeatable plan, breadth first and each state once.
+ * Any scheduler may be marked as lost at any moment, rightly or not, which stands for pauses, partitions and clock drift
+ * of any length. It may crash and start a new session, its copy of the state may be arbitrarily old, and what it has
+ * proposed may be applied at any later moment or be lost.
  */
 final class FleetModel {
-    /** How the schedulers or the book may be broken on purpose. */
+    /** Faults that can be injected into the schedulers or the replicated state. */
     enum Fault {
         NOTHING,
         FENCE_NOT_CHECKED,
         LEASE_TRUSTED_ALONE,
         FENCE_REUSED_AFTER_A_SNAPSHOT,
         BEGUN_ORDERS_FIRED_AGAIN,
-        LOST_LIFE_NOT_SETTLED
+        LOST_SESSION_KEEPS_DUTIES
     }
 
     private static final String[] NAMES = {"a", "b", "c"};
@@ -35,10 +36,10 @@
     private static final int MAX_SNAPSHOTS = 1;
     private static final int MAX_IN_FLIGHT = 1;
 
-    /** An entry proposed by a scheduler, under the fence that it believed in. */
+    /** An entry proposed by a scheduler, with the fence that it knew. */
     record Proposed(int scheduler, Entry entry) {}
 
-    /** The whole system. What a scheduler sees: its life, its fence of the schedule, each job at itself. */
+    /** The state of the whole system: the replicated state, and by scheduler its incarnation, fence and view of the job. */
     static final class World {
         FleetBook.Image state;
         long[] incarnations = new long[3];
@@ -98,7 +99,7 @@
     String violation;
     final Set<String> reached = new HashSet<>();
 
-    /** Explores with at most so many lives called lost, so many crashes and so many called late. */
+    /** Explores with at most so many sessions marked as lost, so many crashes and so many sessions marked as suspect. */
     FleetModel(Fault fault, boolean repeatable, int maxLosses, int maxCrashes, int maxSuspicions) {
         this.maxSuspicions = maxSuspicions;
         this.fault = fault;
@@ -169,7 +170,7 @@
                                         NAMES[scheduler], world.incarnations[scheduler], Entry.Verdict.LOST, 1)));
                 visit(next);
             }
-            // One that is late gets nothing new, and what it has not begun may be given to another.
+            // A suspect session gets nothing new, and a job that it has not begun may be assigned to another.
             if (world.suspicions < maxSuspicions
                     && restoreState(world).sessions().live(NAMES[scheduler], world.incarnations[scheduler])) {
                 World next = world.copy();
@@ -190,7 +191,7 @@
                         applyEntry(next, join(scheduler, next.crashes)).number();
                 visit(next);
             }
-            // One that has seen that its life is over begins another: the process goes on, what it had is dropped.
+            // A process that sees that its session is over starts another one and drops the work of the old one.
             if (world.incarnations[scheduler] > 0 && world.fences[scheduler] < 0) {
                 World next = world.copy();
                 forget(next, scheduler);
@@ -233,7 +234,7 @@
         next.handedOut[scheduler] = false;
     }
 
-    /** The scheduler's copy of the book catches up: it sees its duties and its jobs as they stand. */
+    /** The scheduler's copy of the state catches up: it sees its duties and its job as they are. */
     private void observe(World world, int scheduler) {
         World next = world.copy();
         FleetBook state = restoreState(world);
@@ -255,7 +256,7 @@
         visit(next);
     }
 
-    /** What it does by what it sees: fire what waits, begin what it was told, hand out what it has begun, record. */
+    /** Acts on what the scheduler sees: fires a waiting job, begins a fired one, runs a begun one, records its end. */
     private void act(World world, int scheduler) {
         State observed = world.observedStates[scheduler];
         if (world.fences[scheduler] > 0 && observed == State.WAITING) {
@@ -314,7 +315,7 @@
             check(
                     next,
                     duty.fence() == fire.fence() && duty.owner().equals(NAMES[proposal.scheduler]),
-                    "a deed under fence " + fire.fence() + " while " + duty.fence() + " holds");
+                    "an action under fence " + fire.fence() + " while " + duty.fence() + " holds");
             reached.add(before.plans().find(JOB).state() == State.FIRED ? "fired anew" : "fired");
         } else if (!outcome.done() && proposal.entry instanceof Entry.Fire fire && fire.fence() != duty.fence()) {
             reached.add("old fence refused");
@@ -331,7 +332,7 @@
                     next.state.discoveryReports(),
                     next.state.orders());
         }
-        if (fault == Fault.LOST_LIFE_NOT_SETTLED && entry instanceof Entry.Judge) {
+        if (fault == Fault.LOST_SESSION_KEEPS_DUTIES && entry instanceof Entry.Judge) {
             next.state = new FleetBook.Image(
                     next.state.sessions(),
                     before.image().duties(),
@@ -344,7 +345,7 @@
         checkInvariants(next, before, after);
     }
 
-    /** The plans after, with an order that was begun by the lost life waiting again in place of given up. */
+    /** The planned jobs afterwards, with an order that the lost session had begun waiting again instead of given up. */
     private static Plans.Snapshot keepBegunOrderWaiting(FleetBook before, FleetBook after) {
         List<Job> jobs = new ArrayList<>(after.plans().all());
         Job order = before.plans().find(JOB);
@@ -362,7 +363,7 @@
             check(
                     next,
                     duty.owner().isEmpty() || after.sessions().live(duty.owner(), duty.incarnation()),
-                    "a lost life owns " + duty.name());
+                    "a lost session owns " + duty.name());
             check(
                     next,
                     duty.fence() != previous.fence()
--- a/src/test/java/plumpost/fleet/FleetModelTest.java
+++ b/src/test/java/plumpost/fleet/FleetModelTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The fleet's book and those who act by it, explored exhaustively; see {@link FleetModel}. */
+/** The replicated state and the schedulers that act on it, explored exhaustively; see {@link FleetModel}. */
 class FleetModelTest {
-    /** Guards the rules over every pause, cut, crash and loss of a message that the bounds allow. */
+    /** The invariants hold over every pause, partition, crash and lost message that the bounds allow. */
     @ParameterizedTest
     @CsvSource({"false,1,1,0", "false,2,0,0", "true,1,0,0", "false,1,0,1"})
     void noOrderOfEventsViolatesAnInvariant(boolean repeatable, int losses, int crashes, int suspicions) {
@@ -27,14 +27,14 @@
         }
     }
 
-    /** Guards the model itself: each variant broken on purpose is found by the rule that it breaks. */
+    /** Checks the model itself: each injected fault is detected by the invariant that it violates. */
     @ParameterizedTest
     @CsvSource({
-        "FENCE_NOT_CHECKED,a deed under fence",
+        "FENCE_NOT_CHECKED,an action under fence",
         "LEASE_TRUSTED_ALONE,an order that ran waits",
         "FENCE_REUSED_AFTER_A_SNAPSHOT,a fence was used twice",
         "BEGUN_ORDERS_FIRED_AGAIN,an order that ran waits",
-        "LOST_LIFE_NOT_SETTLED,a lost life owns"
+        "LOST_SESSION_KEEPS_DUTIES,a lost session owns"
     })
     void eachInjectedFaultIsDetected(FleetModel.Fault fault, String violation) {
         FleetModel model = new FleetModel(fault, false, 1, 1, 0);
--- a/src/test/java/plumpost/fleet/FleetSim.java
+++ b/src/test/java/plumpost/fleet/FleetSim.java
@@ -18,13 +18,14 @@
 import plumpost.time.UnixTime;
 
 /**
- * Many members in one thread and one virtual time, on a log that is always there: what they propose is applied after a
- * drawn delay in one order and seen by each after a delay of its own. Members are stopped, cut off and killed. Seeded.
+ * Simulates many members in one thread and in virtual time, on a log that is always available: what they propose is
+ * applied after a random delay in one order, and delivered to each member after a delay of its own. Members can be
+ * suspended, disconnected, slowed and crashed. The random numbers are seeded.
  */
 final class FleetSim {
     private record ScheduledTask(double atMs, long sequence, Runnable action) {}
 
-    /** One scheduler. */
+    /** One simulated scheduler. */
     final class SimulatedMember implements Host, FleetLog {
         final int index;
         final Counters counters = new Counters();
@@ -34,7 +35,7 @@
         boolean suspended;
         boolean disconnected;
         boolean crashed;
-        /** What it sees of the log comes so much later: its disk is slow. */
+        /** Additional delay of deliveries from the log, in milliseconds, as with a slow disk. */
         double extraDelayMs;
 
         private final ArrayDeque<Double> undelivered = new ArrayDeque<>();
@@ -48,7 +49,7 @@
 
         private void begin(int processNumber) {
             undelivered.clear();
-            wheel = new TimerWheel(nowMs); // the former process has ended with its timers
+            wheel = new TimerWheel(nowMs); // the timers of the previous process are gone
             PeersConfig.Member self = config.members().get(index);
             member = new Member(
                     new PeersConfig(
@@ -70,18 +71,18 @@
                     UnixTime.of(() -> nowMs),
                     wheel,
                     counters,
-                    w -> {});
+                    line -> {});
             member.on(this);
             member.started();
             member.restored(state.image());
             member.begin();
         }
 
-        /** Something comes to this process: while it is stopped or cut off it waits, to a dead one it never comes. */
+        /** Delivers a callback to this process; held back while it is suspended or disconnected, dropped if it has crashed. */
         void deliver(double delayMs, Runnable action) {
             Member process = member;
-            lastDeliveryMs =
-                    Math.max(lastDeliveryMs, nowMs + delayMs + extraDelayMs); // what one process sees comes in order
+            // Deliveries to one process keep their order.
+            lastDeliveryMs = Math.max(lastDeliveryMs, nowMs + delayMs + extraDelayMs);
             undelivered.add(nowMs);
             schedule(lastDeliveryMs, () -> {
                 if (process == member) {
@@ -119,7 +120,7 @@
             if (disconnected) {
                 schedule(nowMs + 2000, () -> {
                     if (process == member) {
-                        callback.accept(null); // as the engine does when nobody has answered for long
+                        callback.accept(null); // as the engine does when no leader has answered for long
                     }
                 });
                 return;
@@ -161,7 +162,7 @@
         public void close() {}
 
         @Override
-        public void banned(String node, boolean out) {}
+        public void banned(String node, boolean banned) {}
 
         @Override
         public Collection<String> functions() {
@@ -257,13 +258,13 @@
             violations.add("a fence went back");
         }
         if (entry instanceof Entry.Fire fire && outcome.done() && fire.fence() != before.fence()) {
-            violations.add("an old fence counted");
+            violations.add("an entry with an old fence was applied");
         }
-        members.forEach(m -> m.deliver(drawDelayMs(), () -> m.member.applied(entry, 1)));
+        members.forEach(member -> member.deliver(drawDelayMs(), () -> member.member.applied(entry, 1)));
         return outcome;
     }
 
-    /** Lets virtual time pass. */
+    /** Advances virtual time by so many milliseconds. */
     void advance(double durationMs) {
         for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs += TimerWheel.TICK_MS) {
             while (!queue.isEmpty() && queue.peek().atMs <= nowMs) {
--- a/src/test/java/plumpost/fleet/FleetSimTest.java
+++ b/src/test/java/plumpost/fleet/FleetSimTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many members in virtual time; see {@link FleetSim}. */
+/** Simulations of many members in virtual time; see {@link FleetSim}. */
 class FleetSimTest {
 
-    /** Guards the rules at size: members stop, are cut off and die at random, owners first, while jobs come due. */
+    /** In a large fleet, random members, mostly owners, are suspended, cut off, slowed, crashed or stopped while jobs come due. */
     @ParameterizedTest
     @CsvSource({"5,1", "5,2", "5,3", "100,1", "200,1"})
     void randomFaultsViolateNoInvariant(int members, long seed) {
@@ -63,7 +63,7 @@
         sim.advance(8000);
         assertThat(sim.violations).isEmpty();
         assertThat(changes).isGreaterThan(5);
-        assertThat(sim.state.plans().all()).as("nothing is left over").isEmpty();
+        assertThat(sim.state.plans().all()).as("no job is left over").isEmpty();
         int neverRun = 0;
         for (int i = 0; i < planned; i++) {
             assertThat(sim.runCounts.getOrDefault("order" + i, 0))
@@ -71,11 +71,11 @@
                     .isLessThanOrEqualTo(1);
             neverRun += sim.runCounts.containsKey("order" + i) || sim.runCounts.containsKey("plan" + i) ? 0 : 1;
         }
-        // What was proposed by one that was cut off or stopped was never acknowledged: it may be missing.
+        // Jobs proposed by a member that was disconnected or suspended were never acknowledged and may be missing.
         assertThat(neverRun).isLessThan(planned / 4);
     }
 
-    /** Guards the orderly end at each moment in which a planned order is told, asked to begin, begun or under way. */
+    /** A member may be stopped at any moment at which a planned order is fired, proposed to begin, begun or running. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aStoppingMemberLeavesNoJobBegun(long seed) {
@@ -93,7 +93,7 @@
                 sim.members.get(stopping).member.stop();
                 sim.advance(4000);
                 assertThat(sim.state.plans().snapshot().givenUp())
-                        .as("s%d told %d ms after they were due", stopping, delayMs)
+                        .as("s%d stopped %d ms after the jobs were due", stopping, delayMs)
                         .isEmpty();
                 assertThat(sim.runCounts)
                         .hasSize(12)
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Guards the cost at rest: nothing is written to the log, and each member is heard four times a second. */
+    /** An idle fleet writes nothing to the log, and each member sends about four heartbeats a second. */
     @Test
     void anIdleFleetWritesNothingToTheLog() {
         FleetSim sim = new FleetSim(200, 1);
--- a/src/test/java/plumpost/fleet/OrdersModel.java
+++ b/src/test/java/plumpost/fleet/OrdersModel.java
@@ -12,14 +12,14 @@
 import plumpost.fleet.Orders.Order;
 
 /**
- * A small model checker of the ledger and of those who act by it: three schedulers and one or two orders, breadth first,
- * each state once. What a scheduler proposes may rest on a view as old as it likes, of any of its lives, so that pauses,
- * cuts and messages that are late or lost are all the same here: every such entry may be applied at any moment. A right
- * to hand an order out is used at any later moment, or never; any life may be called lost, rightly or not, or crash with
- * all that it remembers; a worker reports at any scheduler, or never.
+ * A small model checker of the ledger and of the schedulers that act on it. It explores three schedulers and one or two
+ * orders, breadth first and each state once. A scheduler may propose entries from an arbitrarily old copy of the state
+ * and from any of its sessions, which covers pauses, partitions and late or lost messages alike: every such entry may be
+ * applied at any moment. A lease is used at any later moment or never; any session may be marked as lost, rightly or not,
+ * or crash and lose its memory; a worker reports to any scheduler, or never.
  */
 final class OrdersModel {
-    /** How the schedulers or the ledger may be broken on purpose. */
+    /** Faults that can be injected into the schedulers or the ledger. */
     enum Fault {
         NOTHING,
         HANDED_OUT_WHEN_ASKED,
@@ -32,18 +32,18 @@
     private static final String[] NAMES = {"a", "b", "c"};
     private static final byte[] EMPTY = new byte[0];
 
-    /** The right to hand an order out, under a lease, that a scheduler remembers. */
+    /** A lease that a scheduler remembers: the right to hand an order out. */
     private record Lease(int scheduler, int order, int number) {}
 
     private static final class World {
         FleetBook.Image state;
-        /** The incarnations of each scheduler's lives, the present one last. */
+        /** By scheduler, the incarnations of its sessions, the present one last. */
         List<List<Long>> incarnations = new ArrayList<>();
 
         List<Lease> leases = new ArrayList<>();
-        /** Leases that their scheduler gives back unused, and has not been heard yet. */
+        /** Leases that their scheduler returns unused; the report may be applied at any moment. */
         List<Lease> returnedLeases = new ArrayList<>();
-        /** Leases under which a worker has run the order and has told nobody yet. */
+        /** Leases under which a worker has run the order and has not reported it. */
         List<Lease> unreportedRuns = new ArrayList<>();
 
         int[] runs;
@@ -68,23 +68,23 @@
             StringBuilder key = new StringBuilder();
             state.orders()
                     .orders()
-                    .forEach(o -> key.append(o.state().ordinal())
-                            .append(o.holder())
-                            .append(o.incarnation())
+                    .forEach(order -> key.append(order.state().ordinal())
+                            .append(order.holder())
+                            .append(order.incarnation())
                             .append('/')
-                            .append(o.lease())
+                            .append(order.lease())
                             .append(' '));
             state.sessions()
                     .sessions()
-                    .forEach(x -> key.append(x.incarnation())
-                            .append(x.state().ordinal())
+                    .forEach(session -> key.append(session.incarnation())
+                            .append(session.state().ordinal())
                             .append(' '));
             state.duties()
                     .duties()
                     .forEach(d -> key.append(d.owner()).append(d.fence()).append(' '));
             for (List<Lease> list : List.of(leases, returnedLeases, unreportedRuns)) {
                 list.stream()
-                        .map(runCount -> runCount.scheduler + "." + runCount.order + "." + runCount.number + " ")
+                        .map(lease -> lease.scheduler + "." + lease.order + "." + lease.number + " ")
                         .sorted()
                         .forEach(key::append);
                 key.append('|');
@@ -108,7 +108,7 @@
     String violation;
     final Set<String> reached = new HashSet<>();
 
-    /** Explores with at most so many lives called lost, crashes, and leases an order. */
+    /** Explores with at most so many sessions marked as lost, crashes, and leases per order. */
     OrdersModel(Fault fault, boolean repeatable, int orderCount, int maxLosses, int maxCrashes, int maxLeases) {
         this.fault = fault;
         this.repeatable = repeatable;
@@ -202,9 +202,8 @@
                 apply(next, new Entry.Judge(NAMES[scheduler], incarnation, Entry.Verdict.LOST, 1), -1);
                 visit(next);
             }
-            if (!live
-                    || world.crashes
-                            < maxCrashes) { // one that was called lost may go on with what it remembers, or begin anew
+            // A session marked as lost may go on with the leases that it remembers, or be followed by a new one.
+            if (!live || world.crashes < maxCrashes) {
                 World next = world.copy();
                 int crashed = scheduler;
                 next.crashes += live ? 1 : 0;
@@ -235,23 +234,19 @@
             visit(unused);
         }
         for (Lease lease : world.returnedLeases) {
-            report(
-                    world.copy(),
-                    lease.scheduler,
-                    lease,
-                    Event.HANDED_BACK); // and it may come again, since who proposed it heard no answer
+            // It stays in the list: a scheduler that receives no answer repeats its report.
+            report(world.copy(), lease.scheduler, lease, Event.HANDED_BACK);
         }
         for (Lease lease : world.unreportedRuns) {
-            for (int scheduler = 0; scheduler < NAMES.length; scheduler++) { // its worker reports, wherever it now is
+            for (int scheduler = 0; scheduler < NAMES.length; scheduler++) { // its worker reports to any scheduler
                 World next = world.copy();
                 next.unreportedRuns.remove(lease);
                 report(next, scheduler, lease, Event.DONE);
             }
         }
         for (Duties.Duty duty : state.duties().all()) {
-            for (long fence = Math.max(1, duty.fence() - 1);
-                    fence <= duty.fence();
-                    fence++) { // the owner, and the one before
+            // Settled by the owner, and by the one before it.
+            for (long fence = Math.max(1, duty.fence() - 1); fence <= duty.fence(); fence++) {
                 World next = world.copy();
                 apply(next, new Entry.Settle(fence, List.of(id(0), id(orderCount - 1)), List.of()), -1);
                 visit(next);
@@ -259,7 +254,7 @@
         }
     }
 
-    /** What a life may propose of an order, as far back as its view may be. */
+    /** Applies everything that a session may propose on an order, whatever the age of its copy of the state. */
     private void proposeAll(World world, FleetBook state, int scheduler, long incarnation, int index) {
         SessionId session = new SessionId(NAMES[scheduler], incarnation);
         Order order = state.orders().find(id(index));
@@ -299,7 +294,7 @@
         visit(next);
     }
 
-    /** A worker gets the order and runs it; what it then tells, and where, is another step. */
+    /** A worker gets the order and runs it; its report is a separate step. */
     private void run(World next, Lease lease) {
         next.runs[lease.order] = Math.min(3, next.runs[lease.order] + 1);
         if (next.unreportedRuns.size() < 2) {
@@ -331,7 +326,7 @@
         return outcome;
     }
 
-    /** The book as a broken ledger would leave it. */
+    /** Returns the state that a ledger with the injected fault would leave. */
     private FleetBook.Image injectFault(FleetBook before, FleetBook.Image after, Entry entry) {
         List<Order> orders = new ArrayList<>();
         for (Order order : after.orders().orders()) {
@@ -374,7 +369,7 @@
                     order.state() != State.TAKEN
                             || order.holder().isEmpty()
                             || after.sessions().live(order.holder(), order.incarnation()),
-                    "a lost life holds an order");
+                    "a lost session holds an order");
             check(
                     next,
                     !previous.state().ended()
--- a/src/test/java/plumpost/fleet/OrdersModelTest.java
+++ b/src/test/java/plumpost/fleet/OrdersModelTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The fleet's ledger and those who act by it, explored exhaustively; see {@link OrdersModel}. */
+/** The fleet's ledger and the schedulers that act on it, explored exhaustively; see {@link OrdersModel}. */
 class OrdersModelTest {
-    /** Guards the rules over every pause, cut, crash, late word and loss of a message that the bounds allow. */
+    /** The invariants hold over every pause, partition, crash, late report and lost message that the bounds allow. */
     @ParameterizedTest
     @CsvSource({"false,1,2,1,3", "true,1,1,1,3", "false,2,1,0,2"})
     void noOrderOfEventsViolatesAnInvariant(boolean repeatable, int orders, int losses, int crashes, int leases) {
@@ -29,12 +29,12 @@
                         repeatable ? "AWAITED to TAKEN" : "UNKNOWN to SERVED");
     }
 
-    /** Guards the model itself: each variant broken on purpose is found by the rule that it breaks. */
+    /** Checks the model itself: each injected fault is detected by the invariant that it violates. */
     @ParameterizedTest
     @CsvSource({
         "HANDED_OUT_WHEN_ASKED,an order that ran waits|an order ran twice",
         "LEASED_IS_FREE_WHEN_LOST,an order that ran waits",
-        "CLAIM_TAKES_WHAT_IS_HELD,an order that ran waits|a lost life holds an order",
+        "CLAIM_TAKES_WHAT_IS_HELD,an order that ran waits|a lost session holds an order",
         "OLD_LEASE_HANDS_BACK,an order that ran waits",
         "AWAITED_IS_HANDED_OUT_AGAIN,an order that ran waits"
     })
--- a/src/test/java/plumpost/fleet/OrdersTest.java
+++ b/src/test/java/plumpost/fleet/OrdersTest.java
@@ -12,7 +12,7 @@
 import plumpost.fleet.Entry.Offer;
 import plumpost.fleet.Entry.SessionId;
 
-/** The fleet's ledger by single steps; every interleaving is {@link OrdersModel}'s. */
+/** The fleet's ledger in single steps; {@link OrdersModel} explores every interleaving. */
 class OrdersTest {
     private final FleetBook state = new FleetBook();
     private final SessionId sessionA = join("a");
@@ -45,20 +45,20 @@
         return state.duties().find(FleetBook.LEDGER).fence();
     }
 
-    /** Guards two clients with one key at two schedulers in the same moment: one order, known to both by one handle. */
+    /** Two clients that submit the same key at two schedulers at the same time get one order with one handle. */
     @Test
     void ordersWithEqualKeysAreOneOrder() {
         assertThat(take(sessionA, "H:a:1", "k", false).words()).isEqualTo("H:a:1");
         assertThat(take(sessionB, "H:b:1", "k", false).words()).isEqualTo("H:a:1");
         assertThat(take(sessionB, "H:b:2", "", false).words()).isEqualTo("H:b:2");
         assertThat(take(sessionB, "H:b:3", "", false).words())
-                .as("without a key each is its own")
+                .as("orders without a key are separate")
                 .isEqualTo("H:b:3");
         assertThat(state.orders().findByKey("f", "k").holder()).isEqualTo("a");
         assertThat(state.orders().all()).hasSize(3);
     }
 
-    /** Guards takeover: what was held goes to one survivor, what was leased is awaited and then given up, once. */
+    /** Takeover: a held order goes to one survivor; a leased one is awaited, then given up once, or freed if repeatable. */
     @Test
     void ordersHeldByALostSessionAreClaimedAndLeasedOnesAwaited() {
         take(sessionA, "held", "1", false);
@@ -69,11 +69,11 @@
         assertThat(report(sessionB, "held", Event.LEASE, 0).words())
                 .contains("is not b#" + sessionB.incarnation() + "'s to lease");
         assertThat(apply(new Entry.Claim(sessionB, List.of("held", "out"))).number())
-                .as("a lives")
+                .as("session a is live")
                 .isZero();
         apply(new Entry.Judge("a", sessionA.incarnation(), Entry.Verdict.LOST, 1));
         assertThat(report(sessionA, "held", Event.LEASE, 0).done())
-                .as("its life is over")
+                .as("its session is over")
                 .isFalse();
         assertThat(apply(new Entry.Claim(sessionB, List.of("held", "out", "plan")))
                         .number())
@@ -85,12 +85,14 @@
                 .contains("is old");
         apply(new Entry.Settle(fence(), List.of("held", "out", "plan"), List.of("held")));
         assertThat(order("out").state()).isEqualTo(State.UNKNOWN);
-        assertThat(order("plan").state()).as("it may run again, elsewhere").isEqualTo(State.TAKEN);
+        assertThat(order("plan").state())
+                .as("a repeatable order may run again, elsewhere")
+                .isEqualTo(State.TAKEN);
         assertThat(order("held").state())
-                .as("it was not awaited, nor is it over")
+                .as("an order that is neither awaited nor ended is not settled")
                 .isEqualTo(State.TAKEN);
         assertThat(report(sessionA, "out", Event.DONE, 1).done())
-                .as("the truth is kept")
+                .as("a late result is kept")
                 .isTrue();
         assertThat(order("out").result()).containsExactly(7);
         apply(new Entry.Settle(fence(), List.of(), List.of("out", "held")));
@@ -99,7 +101,7 @@
         assertThat(state.orders().findByKey("f", "2")).isNull();
     }
 
-    /** Guards the orderly end: what is not handed out is free at once, what is out is finished by whoever has it. */
+    /** Orderly shutdown: orders not handed out are free at once; those handed out are finished by their scheduler. */
     @Test
     void aLeavingSessionReleasesOrdersThatItHasNotHandedOut() {
         take(sessionA, "held", "1", false);
@@ -110,11 +112,11 @@
         assertThat(report(sessionA, "out", Event.DONE, 1).done()).isTrue();
         assertThat(order("out").state()).isEqualTo(State.SERVED);
         assertThat(take(sessionB, "again", "2", false).words())
-                .as("a resubmit finds its outcome")
+                .as("a second submission finds the outcome")
                 .isEqualTo("out");
     }
 
-    /** Guards attempts over all schedulers: six leases at most, then a repeatable order is given up too. */
+    /** After six leases over all schedulers a repeatable order is given up too. */
     @Test
     void aRepeatableOrderHasAtMostSixLeases() {
         take(sessionA, "plan", "1", true);
@@ -126,7 +128,7 @@
         assertThat(order("plan").state()).isEqualTo(State.UNKNOWN);
     }
 
-    /** Guards the ledger over a snapshot, and its bounds. */
+    /** The ledger is restored from a snapshot, and refuses what exceeds its bounds. */
     @Test
     void theLedgerSurvivesASnapshotAndIsBounded() throws Exception {
         take(sessionA, "one", "k", false);
