--- a/src/main/java/plumpost/lab/faults/FaultLibrary.java
+++ b/src/main/java/plumpost/lab/faults/FaultLibrary.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults of the operating system for one process under test: steps of its wall clock, hold-ups after clock reads, failing calls
- * and a failing disk. A small C library, compiled with the system's {@code cc}, is preloaded into that process and follows a
- * control file that this class writes; faults can be changed at any time.
+ * Injects faults of the operating system into one process under test: wall-clock steps, pauses after clock reads, failing
+ * network calls and a failing disk. A small C library, compiled with the system's {@code cc}, is preloaded into the process
+ * and reads a memory-mapped control file that this class writes, so faults can be changed at any time.
  */
 public final class FaultLibrary implements Closeable {
-    /** Errors of the disk by their Linux numbers. */
+    /** Disk errors with their Linux error numbers. */
     public enum DiskError {
         /** The disk works. */
         NONE(0),
@@ -38,8 +38,8 @@
         }
     }
 
-    /** Words of the control file, in the order of {@code struct control} in fault_library.c. */
-    private enum Word {
+    /** 64-bit words of the control file, in the order of {@code struct control} in fault_library.c. */
+    private enum ControlWord {
         WALL_STEP_NS,
         HOLD_UP_NS,
         HOLD_UP_GAP_NS,
@@ -54,30 +54,30 @@
     }
 
     private static final String SOURCE = "fault_library.c";
-    private static final double MILLION = 1e6;
-    private static final long COMPILE_WITHIN_S = 60;
+    private static final double MILLIONTHS = 1e6;
+    private static final long COMPILE_TIMEOUT_S = 60;
     private static Path compiled;
 
-    private final Path file;
+    private final Path controlFile;
     private final ByteBuffer control;
     private final Map<String, String> environment = new HashMap<>();
 
-    /** Faults for one process, none of them on; files below {@code disk}, which may be null, are on the failing disk. */
+    /** Prepares faults for one process, all off; disk faults affect files below {@code disk}, or none if that is null. */
     public FaultLibrary(Path disk) throws IOException, InterruptedException {
-        file = Files.createTempFile("plumpost-faults", ".control");
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, (long) Word.values().length * Long.BYTES)
+        controlFile = Files.createTempFile("plumpost-faults", ".control");
+        try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, (long) ControlWord.values().length * Long.BYTES)
                     .order(ByteOrder.nativeOrder());
         }
-        set(Word.DISK_BYTES, -1);
+        set(ControlWord.DISK_BYTES, -1);
         environment.put("LD_PRELOAD", library().toString());
-        environment.put("FAULT_CONTROL", file.toString());
+        environment.put("FAULT_CONTROL", controlFile.toString());
         if (disk != null) {
             environment.put("FAULT_DIRECTORY", disk.toString());
         }
     }
 
-    /** The compiled library, made once for each process that plays faults. */
+    /** Returns the compiled library, compiling it on the first call in this process. */
     private static synchronized Path library() throws IOException, InterruptedException {
         if (compiled != null) {
             return compiled;
@@ -92,9 +92,9 @@
                         "cc", "-O2", "-shared", "-fPIC", "-o", library.toString(), source.toString(), "-ldl")
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(compiler.getInputStream().readAllBytes());
-        if (!compiler.waitFor(COMPILE_WITHIN_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-            throw new IOException("cc cannot compile " + SOURCE + ": " + said);
+        String output = new String(compiler.getInputStream().readAllBytes());
+        if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+            throw new IOException("cc cannot compile " + SOURCE + ": " + output);
         }
         Files.delete(source);
         library.toFile().deleteOnExit();
@@ -103,78 +103,78 @@
         return library;
     }
 
-    /** What the process under test needs in its environment. */
+    /** Returns the environment variables with which the process under test must be started. */
     public Map<String, String> environment() {
         return Map.copyOf(environment);
     }
 
-    /** Steps the wall clock to so many milliseconds from the true time; the monotonic clock runs on. */
+    /** Offsets the wall clock from the true time by this many milliseconds; the monotonic clock is unaffected. */
     public void stepWallClock(double fromTrueTimeMs) {
-        set(Word.WALL_STEP_NS, (long) (fromTrueTimeMs * MILLION));
+        set(ControlWord.WALL_STEP_NS, (long) (fromTrueTimeMs * MILLIONTHS));
     }
 
-    /** Event loops are held up for so long after reading their clock, with at least {@code gapMs} between; 0 ends that. */
+    /** Pauses event loops for {@code lengthMs} after a clock read, at least {@code gapMs} apart; length 0 ends that. */
     public void holdUp(double lengthMs, double gapMs) {
-        set(Word.HOLD_UP_GAP_NS, (long) (gapMs * MILLION));
-        set(Word.HOLD_UP_NS, (long) (lengthMs * MILLION));
+        set(ControlWord.HOLD_UP_GAP_NS, (long) (gapMs * MILLIONTHS));
+        set(ControlWord.HOLD_UP_NS, (long) (lengthMs * MILLIONTHS));
     }
 
-    /** So large a part of network calls fails with a passing error or moves a single byte. */
-    public void failCalls(double part) {
-        set(Word.CALL_FAILURES, (long) (part * MILLION));
+    /** Makes a share of network calls fail with a transient error or transfer a single byte; 0 to 1. */
+    public void failCalls(double share) {
+        set(ControlWord.CALL_FAILURES, (long) (share * MILLIONTHS));
     }
 
-    /** So large a part of calls of accept fails. */
-    public void failAccepts(double part) {
-        set(Word.ACCEPT_FAILURES, (long) (part * MILLION));
+    /** Makes a share of accept calls fail; 0 to 1. */
+    public void failAccepts(double share) {
+        set(ControlWord.ACCEPT_FAILURES, (long) (share * MILLIONTHS));
     }
 
-    /** So large a part of reads and writes finds its connection broken. */
-    public void breakConnections(double part) {
-        set(Word.CONNECTION_FAILURES, (long) (part * MILLION));
+    /** Makes a share of reads and writes on connections break the connection; 0 to 1. */
+    public void breakConnections(double share) {
+        set(ControlWord.CONNECTION_FAILURES, (long) (share * MILLIONTHS));
     }
 
-    /** So large a part of writes, syncs and renames below the disk's folder fails. */
-    public void failDisk(DiskError error, double part) {
-        set(Word.DISK_FAILURES, (long) (part * MILLION));
-        set(Word.DISK_ERROR, error.number);
+    /** Makes a share of writes, syncs and renames below the disk's folder fail with an error; 0 to 1. */
+    public void failDisk(DiskError error, double share) {
+        set(ControlWord.DISK_FAILURES, (long) (share * MILLIONTHS));
+        set(ControlWord.DISK_ERROR, error.number);
     }
 
-    /** So many bytes may still be written below the disk's folder, the last write in part; then there is no space. */
-    public void leaveDiskBytes(long bytes) {
-        set(Word.DISK_BYTES, bytes);
+    /** Limits the bytes still to be written below the disk's folder: one write is cut short, later ones fail; -1 for none. */
+    public void limitDiskBytes(long bytes) {
+        set(ControlWord.DISK_BYTES, bytes);
     }
 
-    /** Ends all faults but the wall clock's step. */
-    public void calm() {
+    /** Ends all faults except the offset of the wall clock. */
+    public void clearFaults() {
         holdUp(0, 0);
         failCalls(0);
         failAccepts(0);
         breakConnections(0);
         failDisk(DiskError.NONE, 0);
-        leaveDiskBytes(-1);
+        limitDiskBytes(-1);
     }
 
-    /** Calls that were made to fail so far. */
+    /** Returns how many calls were made to fail so far. */
     public long injected() {
-        return get(Word.INJECTED);
+        return get(ControlWord.INJECTED);
     }
 
-    /** Hold-ups so far. */
+    /** Returns how many pauses of event loops there were so far. */
     public long heldUp() {
-        return get(Word.HELD_UP);
+        return get(ControlWord.HELD_UP);
     }
 
-    private synchronized void set(Word word, long value) {
+    private synchronized void set(ControlWord word, long value) {
         control.putLong(word.ordinal() * Long.BYTES, value);
     }
 
-    private synchronized long get(Word word) {
+    private synchronized long get(ControlWord word) {
         return control.getLong(word.ordinal() * Long.BYTES);
     }
 
     @Override
     public void close() throws IOException {
-        Files.deleteIfExists(file);
+        Files.deleteIfExists(controlFile);
     }
 }
--- a/src/main/resources/plumpost/lab/faults/fault_library.c
+++ b/src/main/resources/plumpost/lab/faults/fault_library.c
@@ -1,9 +1,9 @@
 /*
- * Faults of the operating system for one process under test, loaded with LD_PRELOAD.
+ * Injects faults of the operating system into one process under test; loaded with LD_PRELOAD.
  *
- * The process that plays the faults maps the file named by FAULT_CONTROL and writes the fields of struct control; the process
- * under test reads them at each call. Only calls that Linux documents as failing are made to fail, with documented errors.
- * Network faults and hold-ups strike only threads that have waited in epoll_wait: event loops, not the JVM's own threads.
+ * The controlling process maps the file named by FAULT_CONTROL and writes the fields of struct control; the process under
+ * test reads them at each call. Only calls that Linux documents as able to fail are made to fail, with documented errors.
+ * Network faults and pauses affect only threads that have called epoll_wait: event loops, not the JVM's own threads.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,27 +24,27 @@
 #define NANOS_PER_SECOND 1000000000LL
 #define MILLION 1000000U
 
-/* All fields are 64-bit words in the machine's byte order; FaultLibrary.java names the same indices. */
+/* All fields are 64-bit words in the machine's byte order; FaultLibrary.java lists them in the same order. */
 struct control {
     int64_t wall_step_ns;          /* added to CLOCK_REALTIME */
-    int64_t holdup_ns;             /* an event loop sleeps so long after reading its clock ... */
-    int64_t holdup_gap_ns;         /* ... and runs at least so long before the next time */
-    int64_t call_failures;         /* of a million network calls, so many fail or are short */
-    int64_t connection_failures;   /* of a million reads and writes on connections, so many break the connection */
-    int64_t disk_error;            /* errno of writes, syncs, renames and opens for writing below FAULT_DIRECTORY, or 0 */
-    int64_t disk_failures;         /* of a million of those calls, so many fail */
-    int64_t disk_bytes;            /* bytes that may still be written below it, or -1: then ENOSPC after half a write */
-    volatile int64_t injected;     /* calls that were made to fail, counted here for the player */
-    volatile int64_t held_up;      /* hold-ups so far */
-    int64_t accept_failures;       /* of a million calls of accept, so many more fail */
+    int64_t holdup_ns;             /* length of the pause of an event loop after it reads its clock ... */
+    int64_t holdup_gap_ns;         /* ... and least time from its end to the next pause */
+    int64_t call_failures;         /* network calls that fail or are cut short, per million */
+    int64_t connection_failures;   /* reads and writes that break their connection, per million */
+    int64_t disk_error;            /* errno of failing writes, syncs and renames below FAULT_DIRECTORY, or 0 */
+    int64_t disk_failures;         /* of those calls, how many fail per million */
+    int64_t disk_bytes;            /* bytes that may still be written below it, the last write cut short, then ENOSPC; -1 for no limit */
+    volatile int64_t injected;     /* calls that were made to fail so far */
+    volatile int64_t held_up;      /* pauses so far */
+    int64_t accept_failures;       /* accept calls that fail in addition to call_failures, per million */
 };
 
-static struct control none;
-static struct control *control = &none;
+static struct control inactive;
+static struct control *control = &inactive;
 static const char *directory;
-static __thread int event_loop;
+static __thread int is_event_loop;
 static __thread uint32_t random_state;
-static __thread int64_t held_up_at;
+static __thread int64_t paused_at_ns;
 
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 static int (*real_gettimeofday)(struct timeval *, void *);
@@ -62,8 +62,8 @@
 static int (*real_rename)(const char *, const char *);
 static int (*real_close)(int);
 
-__attribute__((constructor)) static void begin(void) {
-    none.disk_bytes = -1;
+__attribute__((constructor)) static void initialize(void) {
+    inactive.disk_bytes = -1;
     real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     real_gettimeofday = dlsym(RTLD_NEXT, "gettimeofday");
     real_accept = dlsym(RTLD_NEXT, "accept");
@@ -91,8 +91,8 @@
     }
 }
 
-/* xorshift: a stream for each thread, so that no lock orders the threads of the process under test. */
-static uint32_t draw(void) {
+/* xorshift with one state per thread, so that no lock synchronizes the threads of the process under test. */
+static uint32_t next_random(void) {
     if (random_state == 0) {
         random_state = (uint32_t) (uintptr_t) &random_state ^ (uint32_t) getpid() * 2654435761U;
         random_state |= 1;
@@ -103,16 +103,16 @@
     return random_state;
 }
 
-static int strikes(int64_t of_a_million) {
-    if (of_a_million <= 0 || draw() % MILLION >= (uint64_t) of_a_million) {
+static int should_fail(int64_t per_million) {
+    if (per_million <= 0 || next_random() % MILLION >= (uint64_t) per_million) {
         return 0;
     }
     __atomic_add_fetch(&control->injected, 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-static int one_of(const int *errors, int count) {
-    errno = errors[draw() % (uint32_t) count];
+static int fail_with_one_of(const int *errors, int count) {
+    errno = errors[next_random() % (uint32_t) count];
     return -1;
 }
 
@@ -124,13 +124,13 @@
 
 /* ---- clocks ---- */
 
-static void hold_up(const struct timespec *now) {
+static void maybe_pause(const struct timespec *now) {
     int64_t at = (int64_t) now->tv_sec * NANOS_PER_SECOND + now->tv_nsec;
     int64_t length = control->holdup_ns;
-    if (!event_loop || length <= 0 || at - held_up_at < length + control->holdup_gap_ns) {
+    if (!is_event_loop || length <= 0 || at - paused_at_ns < length + control->holdup_gap_ns) {
         return;
     }
-    held_up_at = at;
+    paused_at_ns = at;
     __atomic_add_fetch(&control->held_up, 1, __ATOMIC_RELAXED);
     struct timespec rest = {length / NANOS_PER_SECOND, length % NANOS_PER_SECOND};
     while (nanosleep(&rest, &rest) != 0 && errno == EINTR) {
@@ -144,7 +144,7 @@
         now->tv_sec = stepped / NANOS_PER_SECOND;
         now->tv_nsec = stepped % NANOS_PER_SECOND;
     } else if (result == 0 && clock == CLOCK_MONOTONIC) {
-        hold_up(now); /* what was read is old by now */
+        maybe_pause(now); /* the caller gets a time that is stale by the length of the pause */
     }
     return result;
 }
@@ -165,60 +165,60 @@
 static const int CONNECTION_ERRORS[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE, ENETUNREACH};
 #define COUNT(errors) ((int) (sizeof(errors) / sizeof((errors)[0])))
 
-static int accept_fails(void) {
-    return event_loop && (strikes(control->call_failures) || strikes(control->accept_failures));
+static int accept_should_fail(void) {
+    return is_event_loop && (should_fail(control->call_failures) || should_fail(control->accept_failures));
 }
 
 int accept(int fd, struct sockaddr *peer, socklen_t *length) {
-    if (accept_fails()) {
-        return one_of(ACCEPT_ERRORS, COUNT(ACCEPT_ERRORS));
+    if (accept_should_fail()) {
+        return fail_with_one_of(ACCEPT_ERRORS, COUNT(ACCEPT_ERRORS));
     }
     return real_accept(fd, peer, length);
 }
 
 int accept4(int fd, struct sockaddr *peer, socklen_t *length, int flags) {
-    if (accept_fails()) {
-        return one_of(ACCEPT_ERRORS, COUNT(ACCEPT_ERRORS));
+    if (accept_should_fail()) {
+        return fail_with_one_of(ACCEPT_ERRORS, COUNT(ACCEPT_ERRORS));
     }
     return real_accept4(fd, peer, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-    if (event_loop && strikes(control->call_failures)) {
-        return one_of(SOCKET_ERRORS, COUNT(SOCKET_ERRORS));
+    if (is_event_loop && should_fail(control->call_failures)) {
+        return fail_with_one_of(SOCKET_ERRORS, COUNT(SOCKET_ERRORS));
     }
     return real_socket(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *to, socklen_t length) {
-    if (event_loop && strikes(control->call_failures)) {
-        return one_of(CONNECT_ERRORS, COUNT(CONNECT_ERRORS));
+    if (is_event_loop && should_fail(control->call_failures)) {
+        return fail_with_one_of(CONNECT_ERRORS, COUNT(CONNECT_ERRORS));
     }
     return real_connect(fd, to, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    event_loop = 1;
-    if (strikes(control->call_failures)) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    is_event_loop = 1;
+    if (should_fail(control->call_failures)) {
         errno = EINTR;
         return -1;
     }
-    return real_epoll_wait(fd, events, most, timeout);
+    return real_epoll_wait(fd, events, max_events, timeout);
 }
 
-/* 1: the call is to fail with errno set; 0: it goes on, with *length perhaps shortened to one byte. */
-static int network_fault(int fd, size_t *length) {
-    if (!event_loop || (control->call_failures <= 0 && control->connection_failures <= 0) || !is_socket(fd)) {
+/* Returns 1 if the call is to fail, with errno set; 0 if it proceeds, with *length possibly reduced to one byte. */
+static int inject_network_fault(int fd, size_t *length) {
+    if (!is_event_loop || (control->call_failures <= 0 && control->connection_failures <= 0) || !is_socket(fd)) {
         return 0;
     }
-    if (strikes(control->connection_failures)) {
-        one_of(CONNECTION_ERRORS, COUNT(CONNECTION_ERRORS));
-        shutdown(fd, SHUT_RDWR); /* the connection is gone for good */
+    if (should_fail(control->connection_failures)) {
+        fail_with_one_of(CONNECTION_ERRORS, COUNT(CONNECTION_ERRORS));
+        shutdown(fd, SHUT_RDWR); /* later calls on this connection fail too */
         return 1;
     }
-    if (strikes(control->call_failures)) {
-        if (draw() & 1) {
-            errno = draw() & 1 ? EINTR : EAGAIN;
+    if (should_fail(control->call_failures)) {
+        if (next_random() & 1) {
+            errno = next_random() & 1 ? EINTR : EAGAIN;
             return 1;
         }
         *length = *length > 1 ? 1 : *length;
@@ -243,16 +243,16 @@
     return strncmp(path, directory, strlen(directory)) == 0;
 }
 
-static int disk_fault(int fd) {
-    if (control->disk_error == 0 || !below_directory(fd) || !strikes(control->disk_failures)) {
+static int inject_disk_fault(int fd) {
+    if (control->disk_error == 0 || !below_directory(fd) || !should_fail(control->disk_failures)) {
         return 0;
     }
     errno = (int) control->disk_error;
     return 1;
 }
 
-/* Where a budget of bytes is set: how much of a write fits, or -1 with ENOSPC when none does. */
-static ssize_t disk_room(int fd, size_t length) {
+/* Returns how many bytes of a write the byte limit allows, or -1 with errno ENOSPC if none. */
+static ssize_t writable_bytes(int fd, size_t length) {
     if (control->disk_bytes < 0 || !below_directory(fd)) {
         return (ssize_t) length;
     }
@@ -267,20 +267,20 @@
 }
 
 ssize_t read(int fd, void *bytes, size_t length) {
-    return network_fault(fd, &length) ? -1 : real_read(fd, bytes, length);
+    return inject_network_fault(fd, &length) ? -1 : real_read(fd, bytes, length);
 }
 
 ssize_t write(int fd, const void *bytes, size_t length) {
-    if (network_fault(fd, &length) || disk_fault(fd)) {
+    if (inject_network_fault(fd, &length) || inject_disk_fault(fd)) {
         return -1;
     }
-    ssize_t room = disk_room(fd, length);
-    return room < 0 ? -1 : real_write(fd, bytes, (size_t) room);
+    ssize_t writable = writable_bytes(fd, length);
+    return writable < 0 ? -1 : real_write(fd, bytes, (size_t) writable);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     size_t length = 2;
-    if (network_fault(fd, &length) || disk_fault(fd)) {
+    if (inject_network_fault(fd, &length) || inject_disk_fault(fd)) {
         return -1;
     }
     return length == 1 && count > 0 && parts[0].iov_len > 0
@@ -289,24 +289,24 @@
 }
 
 ssize_t pwrite64(int fd, const void *bytes, size_t length, off64_t at) {
-    if (disk_fault(fd)) {
+    if (inject_disk_fault(fd)) {
         return -1;
     }
-    ssize_t room = disk_room(fd, length);
-    return room < 0 ? -1 : real_pwrite64(fd, bytes, (size_t) room, at);
+    ssize_t writable = writable_bytes(fd, length);
+    return writable < 0 ? -1 : real_pwrite64(fd, bytes, (size_t) writable, at);
 }
 
 int fsync(int fd) {
-    return disk_fault(fd) ? -1 : real_fsync(fd);
+    return inject_disk_fault(fd) ? -1 : real_fsync(fd);
 }
 
 int fdatasync(int fd) {
-    return disk_fault(fd) ? -1 : real_fdatasync(fd);
+    return inject_disk_fault(fd) ? -1 : real_fdatasync(fd);
 }
 
 int rename(const char *from, const char *to) {
     if (control->disk_error != 0 && directory != NULL && strncmp(to, directory, strlen(directory)) == 0
-            && strikes(control->disk_failures)) {
+            && should_fail(control->disk_failures)) {
         errno = (int) control->disk_error;
         return -1;
     }
