--- a/src/main/antlr4/plumpost/lab/script/ScriptLexer.g4
+++ b/src/main/antlr4/plumpost/lab/script/ScriptLexer.g4
@@ -1,4 +1,4 @@
-/** Words of the scenario language: what follows send or expect is taken to the end of its line. */
+/** Tokens of the scenario language. The text after send or expect extends to the end of its line. */
 lexer grammar ScriptLexer;
 
 CASE    : 'case' ;
--- a/src/main/antlr4/plumpost/lab/script/ScriptParser.g4
+++ b/src/main/antlr4/plumpost/lab/script/ScriptParser.g4
@@ -1,4 +1,4 @@
-/** The scenario language: steps of named peers, alone or in named cases. */
+/** Grammar of the scenario language: steps of named peers, on their own or grouped in named cases. */
 parser grammar ScriptParser;
 
 options { tokenVocab = ScriptLexer; }
--- a/src/main/java/plumpost/lab/script/Conformance.java
+++ b/src/main/java/plumpost/lab/script/Conformance.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The conformance suite: its cases, and what came of playing them, by packet type and admin line. */
+/** Conformance suite for the Gearman protocol: reads the cases, plays them and reports by packet type and admin line. */
 public final class Conformance {
-    /** The suite's files, beside this class's resources. */
+    /** Names of the script files of the suite, without their suffix. */
     private static final List<String> FILES = List.of(
             "submit",
             "priority",
@@ -28,12 +28,12 @@
             "limits",
             "malformed");
 
-    /** What came of one case: null words where it holds. */
+    /** Result of one case; {@code failure} is null if it passed. */
     public record Result(Script.Case example, String failure) {}
 
     private Conformance() {}
 
-    /** All cases, for the set-ups that are wanted. */
+    /** Returns all cases whose server setup matches. */
     public static List<Script.Case> cases(Predicate<String> on) {
         List<Script.Case> all = new ArrayList<>();
         for (String file : FILES) {
@@ -45,35 +45,35 @@
                 throw new IllegalStateException(name, e);
             }
         }
-        all.removeIf(c -> !on.test(c.on()));
+        all.removeIf(testCase -> !on.test(testCase.on()));
         return all;
     }
 
-    /** Plays one case on a rig; functions and keys of their own keep it apart from other cases on the same server. */
-    public static Result play(Script.Case c, Rig rig, double patienceMs, String mark) {
+    /** Plays one case; names of functions and keys end in {@code suffix}, so that cases can share a server. */
+    public static Result play(Script.Case testCase, Rig rig, double patienceMs, String suffix) {
         Player player = new Player(
                 rig,
                 patienceMs,
                 Map.of(
                         "f",
-                        "plan-" + mark,
+                        "plan-" + suffix,
                         "g",
-                        "plan2-" + mark,
+                        "plan2-" + suffix,
                         "order",
-                        "order-" + mark,
+                        "order-" + suffix,
                         "u",
-                        "u-" + mark,
+                        "u-" + suffix,
                         "none",
                         "unheard-of"));
         try {
-            c.steps().forEach(player::play);
-            return new Result(c, null);
-        } catch (Player.Failed e) {
-            return new Result(c, e.getMessage());
+            testCase.steps().forEach(player::play);
+            return new Result(testCase, null);
+        } catch (Player.StepFailed e) {
+            return new Result(testCase, e.getMessage());
         }
     }
 
-    /** A table: a line for each packet type and admin line, how many cases cover it and how many hold. */
+    /** Formats a table that says for each packet type and admin line how many cases cover it and how many pass. */
     public static String table(List<Result> results) {
         Map<String, int[]> rows = new TreeMap<>();
         for (Result r : results) {
--- a/src/main/java/plumpost/lab/script/Rig.java
+++ b/src/main/java/plumpost/lab/script/Rig.java
@@ -1,16 +1,16 @@
 package plumpost.lab.script;
 
-/** What a script is played on: connections by the names of their peers, in memory or over TCP. */
+/** Transport that a script is played on: one connection per named peer, in memory or over TCP. */
 public interface Rig {
-    /** Sends bytes as a peer; the first time it connects. */
-    void send(String who, byte[] bytes);
+    /** Sends bytes as a peer; the first call connects it. */
+    void send(String peer, byte[] bytes);
 
-    /** The bytes that have come for a peer, after at most so many milliseconds; empty if none, null once it is closed. */
-    byte[] take(String who, double longestMs);
+    /** Waits at most {@code longestMs} for bytes to a peer and returns them; empty on timeout, null once it is closed. */
+    byte[] take(String peer, double timeoutMs);
 
-    /** Ends a peer's connection. */
-    void close(String who);
+    /** Closes the connection of a peer. */
+    void close(String peer);
 
-    /** Lets time pass. */
+    /** Waits for {@code ms} milliseconds, or advances a simulated clock by as much. */
     void pass(double ms);
 }
--- a/src/main/java/plumpost/lab/script/Script.java
+++ b/src/main/java/plumpost/lab/script/Script.java
@@ -9,10 +9,10 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** A parsed text of the scenario language: steps, and cases of steps. */
+/** A parsed script of the scenario language: steps outside of any case, and named cases. */
 public record Script(List<Step> steps, List<Case> cases) {
 
-    /** A text that is not of the language, or names what does not exist; says where. */
+    /** Thrown for a syntax error in a script; the message says where. */
     public static final class BadScript extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /** What a step does. */
+    /** Action of a step. */
     public enum Verb {
         SEND,
         EXPECT,
@@ -31,19 +31,19 @@
     }
 
     /**
-     * One step.
+     * One step of a script.
      *
-     * @param who the peer, or null where time passes
-     * @param verb what it does
-     * @param words what is sent or expected, or a number
-     * @param place file, line and column, for messages
+     * @param who name of the peer, or null for a step that only lets time pass
+     * @param verb action of the step
+     * @param words what is sent or expected, or a number as text
+     * @param place file, line and column, for error messages
      */
     public record Step(String who, Verb verb, String words, String place) {}
 
-    /** A named case: the packet types and admin lines that it covers, the set-up that it needs, its steps. */
+    /** A named case: the packet types and admin lines that it covers, the server setup that it needs, and its steps. */
     public record Case(String title, List<String> covers, String on, List<Step> steps) {}
 
-    /** Reads a text; {@code where} names it in messages. */
+    /** Parses a script; {@code where} names it in error messages. */
     public static Script parse(String where, String text) {
         BaseErrorListener strict = new BaseErrorListener() {
             @Override
@@ -58,22 +58,24 @@
         ScriptParser parser = new ScriptParser(new CommonTokenStream(lexer));
         parser.removeErrorListeners();
         parser.addErrorListener(strict);
-        ScriptParser.ScriptContext all = parser.script();
+        ScriptParser.ScriptContext tree = parser.script();
         Script script = new Script(new ArrayList<>(), new ArrayList<>());
-        all.line().forEach(l -> line(where, l, script.steps));
-        all.example().forEach(e -> example(where, e, script.cases));
+        tree.line().forEach(l -> line(where, l, script.steps));
+        tree.example().forEach(e -> example(where, e, script.cases));
         return script;
     }
 
-    private static void example(String where, ScriptParser.ExampleContext e, List<Case> cases) {
+    private static void example(String where, ScriptParser.ExampleContext context, List<Case> cases) {
         List<Step> steps = new ArrayList<>();
-        e.line().forEach(l -> line(where, l, steps));
-        String title = string(e.STRING().getText());
-        // The topics before "each" are covered; those after it are the values that make a case each.
-        int each = e.EACH() == null ? Integer.MAX_VALUE : e.EACH().getSymbol().getTokenIndex();
+        context.line().forEach(l -> line(where, l, steps));
+        String title = string(context.STRING().getText());
+        // Topics before "each" are what the case covers; each topic after it is a value that yields a case of its own.
+        int each = context.EACH() == null
+                ? Integer.MAX_VALUE
+                : context.EACH().getSymbol().getTokenIndex();
         List<String> covers = new ArrayList<>();
         List<String> values = new ArrayList<>();
-        for (ScriptParser.TopicContext t : e.topic()) {
+        for (ScriptParser.TopicContext t : context.topic()) {
             (t.getStart().getTokenIndex() < each ? covers : values)
                     .add(
                             t.NAME() != null
@@ -82,7 +84,7 @@
         }
         String on = "usual";
         String variable = null;
-        for (var name : e.NAME()) {
+        for (var name : context.NAME()) {
             if (name.getSymbol().getTokenIndex() < each) {
                 on = name.getText();
             } else {
@@ -110,33 +112,40 @@
         if (step == null) {
             return;
         }
-        Token at = step.getStart();
-        String place = where + " line " + at.getLine() + " column " + (at.getCharPositionInLine() + 1);
-        if (step instanceof ScriptParser.SayContext s) {
-            into.add(new Step(s.NAME().getText(), Verb.SEND, s.TEXT().getText().stripTrailing(), place));
-        } else if (step instanceof ScriptParser.HearContext s) {
-            into.add(
-                    new Step(s.NAME().getText(), Verb.EXPECT, s.TEXT().getText().stripTrailing(), place));
-        } else if (step instanceof ScriptParser.HangUpContext s) {
-            into.add(new Step(s.NAME().getText(), Verb.CLOSE, "", place));
-        } else if (step instanceof ScriptParser.HoldContext s) {
+        Token start = step.getStart();
+        String location = where + " line " + start.getLine() + " column " + (start.getCharPositionInLine() + 1);
+        if (step instanceof ScriptParser.SayContext context) {
             into.add(new Step(
-                    s.NAME().getText(),
+                    context.NAME().getText(),
+                    Verb.SEND,
+                    context.TEXT().getText().stripTrailing(),
+                    location));
+        } else if (step instanceof ScriptParser.HearContext context) {
+            into.add(new Step(
+                    context.NAME().getText(),
+                    Verb.EXPECT,
+                    context.TEXT().getText().stripTrailing(),
+                    location));
+        } else if (step instanceof ScriptParser.HangUpContext context) {
+            into.add(new Step(context.NAME().getText(), Verb.CLOSE, "", location));
+        } else if (step instanceof ScriptParser.HoldContext context) {
+            into.add(new Step(
+                    context.NAME().getText(),
                     Verb.HOLD,
-                    s.NUMBER() == null ? "" : s.NUMBER().getText(),
-                    place));
-        } else if (step instanceof ScriptParser.PassContext s) {
-            into.add(new Step(null, Verb.PASS, s.NUMBER().getText(), place));
-        } else if (step instanceof ScriptParser.AgainContext s) {
-            if (!s.NUMBER().getText().matches("[0-9]{1,6}")) {
+                    context.NUMBER() == null ? "" : context.NUMBER().getText(),
+                    location));
+        } else if (step instanceof ScriptParser.PassContext context) {
+            into.add(new Step(null, Verb.PASS, context.NUMBER().getText(), location));
+        } else if (step instanceof ScriptParser.AgainContext context) {
+            if (!context.NUMBER().getText().matches("[0-9]{1,6}")) {
                 throw new BadScript(
                         where,
-                        at.getLine(),
-                        at.getCharPositionInLine() + 1,
-                        "repeat " + s.NUMBER().getText() + ", not a whole number up to 999999");
+                        start.getLine(),
+                        start.getCharPositionInLine() + 1,
+                        "repeat " + context.NUMBER().getText() + ", not a whole number up to 999999");
             }
-            for (int n = Integer.parseInt(s.NUMBER().getText()); n > 0; n--) {
-                s.line().forEach(l -> line(where, l, into));
+            for (int n = Integer.parseInt(context.NUMBER().getText()); n > 0; n--) {
+                context.line().forEach(l -> line(where, l, into));
             }
         }
     }
--- a/src/main/java/plumpost/lab/script/TcpRig.java
+++ b/src/main/java/plumpost/lab/script/TcpRig.java
@@ -9,45 +9,45 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A rig of blocking connections to one address, one for each peer. */
+/** Rig with one blocking TCP connection per peer, all to one address. */
 public final class TcpRig implements Rig, AutoCloseable {
     private final InetSocketAddress target;
     private final Map<String, Socket> sockets = new HashMap<>();
 
-    /** A rig that connects to an address. */
+    /** Creates a rig whose peers connect to {@code target}. */
     public TcpRig(InetSocketAddress target) {
         this.target = target;
     }
 
-    private Socket socket(String who) throws IOException {
-        Socket s = sockets.get(who);
-        if (s == null || s.isClosed()) {
-            s = new Socket();
-            s.setTcpNoDelay(true);
-            s.connect(target, 2000);
-            sockets.put(who, s);
+    private Socket socket(String peer) throws IOException {
+        Socket socket = sockets.get(peer);
+        if (socket == null || socket.isClosed()) {
+            socket = new Socket();
+            socket.setTcpNoDelay(true);
+            socket.connect(target, 2000);
+            sockets.put(peer, socket);
         }
-        return s;
+        return socket;
     }
 
     @Override
-    public void send(String who, byte[] bytes) {
+    public void send(String peer, byte[] bytes) {
         try {
-            socket(who).getOutputStream().write(bytes);
+            socket(peer).getOutputStream().write(bytes);
         } catch (IOException e) {
-            throw new Player.Failed(who + " cannot send to " + target + ": " + e.getMessage());
+            throw new Player.StepFailed(peer + " cannot send to " + target + ": " + e.getMessage());
         }
     }
 
     @Override
-    public byte[] take(String who, double longestMs) {
+    public byte[] take(String peer, double timeoutMs) {
         try {
-            Socket s = socket(who);
-            InputStream in = s.getInputStream();
-            s.setSoTimeout((int) Math.max(1, longestMs));
-            byte[] some = new byte[65_536];
-            int n = in.read(some);
-            return n < 0 ? null : Arrays.copyOf(some, n);
+            Socket socket = socket(peer);
+            InputStream in = socket.getInputStream();
+            socket.setSoTimeout((int) Math.max(1, timeoutMs));
+            byte[] buffer = new byte[65_536];
+            int count = in.read(buffer);
+            return count < 0 ? null : Arrays.copyOf(buffer, count);
         } catch (SocketTimeoutException e) {
             return new byte[0];
         } catch (IOException e) {
@@ -56,11 +56,11 @@
     }
 
     @Override
-    public void close(String who) {
+    public void close(String peer) {
         try {
-            socket(who).close();
+            socket(peer).close();
         } catch (IOException e) {
-            throw new Player.Failed(who + " cannot close: " + e.getMessage());
+            throw new Player.StepFailed(peer + " cannot close: " + e.getMessage());
         }
     }
 
@@ -75,11 +75,11 @@
 
     @Override
     public void close() {
-        for (Socket s : sockets.values()) {
+        for (Socket socket : sockets.values()) {
             try {
-                s.close();
+                socket.close();
             } catch (IOException e) {
-                continue; // it is gone either way
+                continue; // close the remaining sockets all the same
             }
         }
     }
