--- a/src/main/java/plumpost/lab/fleet/FaultNet.java
+++ b/src/main/java/plumpost/lab/fleet/FaultNet.java
@@ -17,30 +17,31 @@
 import java.util.Map;
 
 /**
- * A proxy of our own on each link between processes, on loopback: every ordered pair has a port, and what goes one way
- * over a link can be cut, delayed or narrowed, whoever has dialled, or its connections reset. What is cut is held, as a
- * network that drops packets and later delivers what was sent again; no new connection comes up while either way is cut.
+ * TCP proxy on loopback for the links between processes. Every ordered pair of processes has a port. Each direction of a
+ * link can be cut, delayed or limited in rate, whichever side opened the connection, and its connections can be reset.
+ * While a direction is cut its bytes are queued, as with a network that drops packets whose retransmissions arrive later.
+ * No new connection is established while either direction is cut.
  */
 public final class FaultNet implements Closeable {
-    private static final int MOST_HELD = 1 << 20;
+    private static final int MAX_HELD_BYTES = 1 << 20;
 
-    /** What is wrong with one way of a link. */
-    private static final class Way {
+    /** Faults of one direction of a link. */
+    private static final class Direction {
         private volatile boolean cut;
         private volatile double delayMs;
-        private volatile double bytesAMs = Double.POSITIVE_INFINITY;
+        private volatile double bytesPerMs = Double.POSITIVE_INFINITY;
     }
 
     private record Chunk(ByteBuffer bytes, double dueMs) {}
 
     private final Selector selector = Selector.open();
-    private final Map<String, Way> ways = new HashMap<>();
-    private final List<Connection> open = new ArrayList<>();
+    private final Map<String, Direction> directions = new HashMap<>();
+    private final List<Connection> connections = new ArrayList<>();
     private final List<String> resets = new ArrayList<>();
     private final Thread thread;
-    private volatile boolean over;
+    private volatile boolean closed;
 
-    /** A net without links. */
+    /** Starts a proxy without links. */
     public FaultNet() throws IOException {
         thread = new Thread(this::run, "fault-net");
         thread.setDaemon(true);
@@ -51,166 +52,166 @@
         return System.nanoTime() / 1e6;
     }
 
-    private Way way(String from, String to) {
-        synchronized (ways) {
-            return ways.computeIfAbsent(from + '>' + to, k -> new Way());
+    private Direction direction(String from, String to) {
+        synchronized (directions) {
+            return directions.computeIfAbsent(from + '>' + to, k -> new Direction());
         }
     }
 
-    /** Opens a port at which {@code from} reaches the port of {@code to}; returns it. */
-    public int link(String from, String to, int target) throws IOException {
-        ServerSocketChannel door = ServerSocketChannel.open();
-        door.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 64);
-        door.configureBlocking(false);
-        synchronized (open) {
+    /** Opens a port through which {@code from} reaches the port {@code target} of {@code to}; returns it. */
+    public int openLink(String from, String to, int target) throws IOException {
+        ServerSocketChannel listener = ServerSocketChannel.open();
+        listener.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 64);
+        listener.configureBlocking(false);
+        synchronized (connections) {
             selector.wakeup();
-            door.register(selector, SelectionKey.OP_ACCEPT, (Runnable) () -> accept(door, from, to, target));
+            listener.register(selector, SelectionKey.OP_ACCEPT, (Runnable) () -> accept(listener, from, to, target));
         }
-        return ((InetSocketAddress) door.getLocalAddress()).getPort();
+        return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
-    /** Cuts one way, or heals it. */
-    public void cut(String from, String to, boolean cut) {
-        way(from, to).cut = cut;
+    /** Cuts one direction, or restores it. */
+    public void setCut(String from, String to, boolean cut) {
+        direction(from, to).cut = cut;
         selector.wakeup();
     }
 
-    /** Delays one way by so many milliseconds. */
-    public void delay(String from, String to, double ms) {
-        way(from, to).delayMs = ms;
+    /** Delays all bytes of one direction by {@code ms} milliseconds. */
+    public void setDelay(String from, String to, double ms) {
+        direction(from, to).delayMs = ms;
     }
 
-    /** Lets through only so many bytes a second on one way. */
-    public void narrow(String from, String to, double bytesAS) {
-        way(from, to).bytesAMs = bytesAS / 1000;
+    /** Limits one direction to {@code bytesAS} bytes per second and connection. */
+    public void limitRate(String from, String to, double bytesAS) {
+        direction(from, to).bytesPerMs = bytesAS / 1000;
     }
 
-    /** Resets all connections that one has dialled to the other. */
-    public void reset(String from, String to) {
+    /** Resets all connections that {@code from} has opened to {@code to}. */
+    public void resetConnections(String from, String to) {
         synchronized (resets) {
             resets.add(from + '>' + to);
         }
         selector.wakeup();
     }
 
-    private void accept(ServerSocketChannel door, String from, String to, int target) {
+    private void accept(ServerSocketChannel listener, String from, String to, int target) {
         try {
-            SocketChannel c = door.accept();
-            if (c != null) {
-                c.configureBlocking(false);
-                c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                open.add(new Connection(c, from, to, target));
+            SocketChannel channel = listener.accept();
+            if (channel != null) {
+                channel.configureBlocking(false);
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                connections.add(new Connection(channel, from, to, target));
             }
         } catch (IOException e) {
-            // the dialler has gone again
+            // the connecting side has already closed
         }
     }
 
     private final class Connection {
         private final String link;
         private final int target;
-        private final SocketChannel near;
-        private SocketChannel far;
-        private final Pipe there;
-        private final Pipe back;
-        private boolean dead;
+        private final SocketChannel inbound;
+        private SocketChannel outbound;
+        private final Pipe forward;
+        private final Pipe backward;
+        private boolean closed;
 
         Connection(SocketChannel near, String from, String to, int target) {
-            this.near = near;
+            this.inbound = near;
             this.link = from + '>' + to;
             this.target = target;
-            there = new Pipe(way(from, to));
-            back = new Pipe(way(to, from));
+            forward = new Pipe(direction(from, to));
+            backward = new Pipe(direction(to, from));
         }
 
-        void turn() {
+        void transfer() {
             try {
-                if (far == null) {
-                    if (there.way.cut || back.way.cut) {
+                if (outbound == null) {
+                    if (forward.direction.cut || backward.direction.cut) {
                         return;
                     }
-                    far = SocketChannel.open();
-                    far.configureBlocking(false);
-                    far.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                    far.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), target));
-                    far.register(selector, SelectionKey.OP_CONNECT, (Runnable) this::up);
-                } else if (far.isConnected()) {
-                    there.turn(near, far);
-                    back.turn(far, near);
-                    if (there.done && back.done) {
-                        end();
+                    outbound = SocketChannel.open();
+                    outbound.configureBlocking(false);
+                    outbound.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                    outbound.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), target));
+                    outbound.register(selector, SelectionKey.OP_CONNECT, (Runnable) this::onConnected);
+                } else if (outbound.isConnected()) {
+                    forward.transfer(inbound, outbound);
+                    backward.transfer(outbound, inbound);
+                    if (forward.outputShut && backward.outputShut) {
+                        reset();
                     }
                 }
             } catch (IOException e) {
-                end();
+                reset();
             }
         }
 
-        private void up() {
+        private void onConnected() {
             try {
-                if (far.isConnected() || far.finishConnect()) {
-                    near.register(selector, SelectionKey.OP_READ, (Runnable) () -> {});
-                    far.register(selector, SelectionKey.OP_READ, (Runnable) () -> {});
+                if (outbound.isConnected() || outbound.finishConnect()) {
+                    inbound.register(selector, SelectionKey.OP_READ, (Runnable) () -> {});
+                    outbound.register(selector, SelectionKey.OP_READ, (Runnable) () -> {});
                 }
             } catch (IOException e) {
-                end();
+                reset();
             }
         }
 
-        void end() {
-            dead = true;
+        void reset() {
+            closed = true;
             try {
-                near.setOption(StandardSocketOptions.SO_LINGER, 0); // a reset, as of a broken connection
-                near.close();
-                if (far != null) {
-                    far.setOption(StandardSocketOptions.SO_LINGER, 0);
-                    far.close();
+                inbound.setOption(StandardSocketOptions.SO_LINGER, 0); // close with RST, as a broken connection does
+                inbound.close();
+                if (outbound != null) {
+                    outbound.setOption(StandardSocketOptions.SO_LINGER, 0);
+                    outbound.close();
                 }
             } catch (IOException e) {
-                // it is gone either way
+                // the connection is closed either way
             }
         }
     }
 
-    /** One way of a connection. */
+    /** One direction of a connection. */
     private static final class Pipe {
-        private final Way way;
-        private final ArrayDeque<Chunk> held = new ArrayDeque<>();
-        private int bytes;
-        private boolean ended;
-        private boolean done;
-        private double paidUntilMs;
+        private final Direction direction;
+        private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
+        private int queuedBytes;
+        private boolean inputEnded;
+        private boolean outputShut;
+        private double busyUntilMs;
 
-        Pipe(Way way) {
-            this.way = way;
+        Pipe(Direction way) {
+            this.direction = way;
         }
 
-        void turn(SocketChannel from, SocketChannel to) throws IOException {
-            while (!ended && bytes < MOST_HELD) {
-                ByteBuffer b = ByteBuffer.allocate(16 * 1024);
-                int n = from.read(b);
-                if (n < 0) {
-                    ended = true;
-                } else if (n == 0) {
+        void transfer(SocketChannel from, SocketChannel to) throws IOException {
+            while (!inputEnded && queuedBytes < MAX_HELD_BYTES) {
+                ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
+                int count = from.read(buffer);
+                if (count < 0) {
+                    inputEnded = true;
+                } else if (count == 0) {
                     break;
                 } else {
-                    bytes += n;
-                    held.add(new Chunk(b.flip(), nowMs() + way.delayMs));
+                    queuedBytes += count;
+                    queue.add(new Chunk(buffer.flip(), nowMs() + direction.delayMs));
                 }
             }
             double now = nowMs();
-            while (!way.cut && !held.isEmpty() && held.peek().dueMs <= now && paidUntilMs <= now) {
-                ByteBuffer b = held.peek().bytes;
-                int n = to.write(b);
-                bytes -= n;
-                paidUntilMs = Math.max(now, paidUntilMs) + n / way.bytesAMs;
-                if (b.hasRemaining()) {
+            while (!direction.cut && !queue.isEmpty() && queue.peek().dueMs <= now && busyUntilMs <= now) {
+                ByteBuffer buffer = queue.peek().bytes;
+                int count = to.write(buffer);
+                queuedBytes -= count;
+                busyUntilMs = Math.max(now, busyUntilMs) + count / direction.bytesPerMs;
+                if (buffer.hasRemaining()) {
                     break;
                 }
-                held.poll();
+                queue.poll();
             }
-            if (ended && held.isEmpty() && !done && !way.cut) {
-                done = true;
+            if (inputEnded && queue.isEmpty() && !outputShut && !direction.cut) {
+                outputShut = true;
                 to.shutdownOutput();
             }
         }
@@ -218,9 +219,9 @@
 
     private void run() {
         try {
-            while (!over) {
+            while (!closed) {
                 selector.select(2);
-                synchronized (open) {
+                synchronized (connections) {
                     for (SelectionKey k : selector.selectedKeys()) {
                         if (k.isValid()) {
                             ((Runnable) k.attachment()).run();
@@ -232,18 +233,17 @@
                         broken = List.copyOf(resets);
                         resets.clear();
                     }
-                    for (Connection c : open) {
-                        if (broken.contains(c.link)) {
-                            c.end();
+                    for (Connection channel : connections) {
+                        if (broken.contains(channel.link)) {
+                            channel.reset();
                         } else {
-                            c.turn();
+                            channel.transfer();
                         }
                     }
-                    open.removeIf(c -> c.dead);
+                    connections.removeIf(channel -> channel.closed);
                 }
-                if (!open.isEmpty()) {
-                    Thread.sleep(
-                            1); // connections that are cut stay readable: without this they would be asked all the time
+                if (!connections.isEmpty()) {
+                    Thread.sleep(1); // a cut connection stays readable and would make this loop spin
                 }
             }
             for (SelectionKey k : selector.keys()) {
@@ -251,13 +251,13 @@
             }
             selector.close();
         } catch (IOException | InterruptedException e) {
-            over = true;
+            closed = true;
         }
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join(2000);
--- a/src/main/java/plumpost/lab/fleet/FleetCheck.java
+++ b/src/main/java/plumpost/lab/fleet/FleetCheck.java
@@ -10,77 +10,79 @@
 import java.util.regex.Pattern;
 
 /**
- * Judges a history of a fleet by the rules alone: what was taken ran, unless it was given up; an order ran once at most;
- * a fence has one owner, whoever says so; in each process's words fences only rise; nothing got stuck.
+ * Checks the history of a fleet: each accepted job ran or was given up; an order ran at most once; all processes name the
+ * same owner for a fence; in the log of each process the fences of a duty only rise; no process got stuck.
  */
 public final class FleetCheck {
     private static final Pattern OWNED =
             Pattern.compile("fleet: (\\S+) under fence (\\d+) is (\\w+)'s, incarnation (\\d+)");
-    private static final Pattern NOBODY = Pattern.compile("fleet: (\\S+) under fence (\\d+) is nobody's");
+    private static final Pattern UNOWNED = Pattern.compile("fleet: (\\S+) under fence (\\d+) is nobody's");
 
     private FleetCheck() {}
 
-    /** Who owned what, by fence, as the processes tell it; two words on one fence come apart by a blank and "and". */
-    public static Map<Long, String> owners(History history) {
+    /** Returns the owners that the processes logged, by fence; different owners of one fence are joined by " and ". */
+    public static Map<Long, String> ownersByFence(History history) {
         Map<Long, String> all = new LinkedHashMap<>();
-        for (History.Seen s : history.of("log")) {
-            Matcher m = OWNED.matcher(s.words());
-            if (m.find()) {
-                String owner = m.group(1) + " " + m.group(3) + "#" + m.group(4);
-                all.merge(Long.parseLong(m.group(2)), owner, (a, b) -> a.equals(b) ? a : a + " and " + b);
+        for (History.Event event : history.ofKind("log")) {
+            Matcher matcher = OWNED.matcher(event.text());
+            if (matcher.find()) {
+                String owner = matcher.group(1) + " " + matcher.group(3) + "#" + matcher.group(4);
+                all.merge(Long.parseLong(matcher.group(2)), owner, (a, b) -> a.equals(b) ? a : a + " and " + b);
             }
         }
         return all;
     }
 
-    /** What a history says of jobs by their keys. */
-    private static Map<String, String> words(History history, String what) {
+    /** Maps the key of each job to the value that events of a kind give for it. */
+    private static Map<String, String> valuesByKey(History history, String what) {
         Map<String, String> all = new HashMap<>();
-        history.of(what).forEach(s -> all.put(s.words().split(" ")[0], s.words().split(" ")[1]));
+        history.ofKind(what)
+                .forEach(event ->
+                        all.put(event.text().split(" ")[0], event.text().split(" ")[1]));
         return all;
     }
 
-    /** The rules that a history breaks, in words; {@code givenUp} are the handles of jobs of which the fleet says so. */
-    public static List<String> broken(History history, Set<String> givenUp) {
-        List<String> broken = new ArrayList<>();
+    /** Describes each violation; {@code givenUp} holds the handles of the jobs that the fleet reports as given up. */
+    public static List<String> findViolations(History history, Set<String> givenUp) {
+        List<String> violations = new ArrayList<>();
         Map<String, Integer> runs = new HashMap<>();
-        history.of("run").forEach(s -> runs.merge(s.words(), 1, Integer::sum));
-        Map<String, String> handles = words(history, "handle");
-        for (History.Seen s : history.of("taken")) {
-            if (!runs.containsKey(s.words()) && !givenUp.contains(handles.get(s.words()))) {
-                broken.add("the job " + s.words() + ", " + handles.get(s.words())
+        history.ofKind("run").forEach(event -> runs.merge(event.text(), 1, Integer::sum));
+        Map<String, String> handles = valuesByKey(history, "handle");
+        for (History.Event event : history.ofKind("taken")) {
+            if (!runs.containsKey(event.text()) && !givenUp.contains(handles.get(event.text()))) {
+                violations.add("the job " + event.text() + ", " + handles.get(event.text())
                         + ", was taken, never ran and is not given up");
             }
         }
-        Map<String, String> functions = words(history, "function");
+        Map<String, String> functions = valuesByKey(history, "function");
         runs.forEach((key, n) -> {
             if (n > 1 && functions.getOrDefault(key, "order").startsWith("order")) {
-                broken.add("the order " + key + " ran " + n + " times");
+                violations.add("the order " + key + " ran " + n + " times");
             }
         });
-        owners(history).forEach((fence, owner) -> {
+        ownersByFence(history).forEach((fence, owner) -> {
             if (owner.contains(" and ")) {
-                broken.add("fence " + fence + " is " + owner);
+                violations.add("fence " + fence + " is " + owner);
             }
         });
         Map<String, Long> last = new HashMap<>();
-        for (History.Seen s : history.all()) {
-            if (s.what().equals("start")) {
-                last.keySet().removeIf(k -> k.startsWith(s.who() + " "));
+        for (History.Event event : history.events()) {
+            if (event.kind().equals("start")) {
+                last.keySet().removeIf(k -> k.startsWith(event.source() + " "));
             }
-            Matcher m = OWNED.matcher(s.words());
-            Matcher none = NOBODY.matcher(s.words());
-            boolean owned = s.what().equals("log") && m.find();
-            if (owned || s.what().equals("log") && none.find()) {
-                long fence = Long.parseLong(owned ? m.group(2) : none.group(2));
-                String of = s.who() + " " + (owned ? m.group(1) : none.group(1));
-                Long before = last.put(of, fence);
+            Matcher matcher = OWNED.matcher(event.text());
+            Matcher unowned = UNOWNED.matcher(event.text());
+            boolean owned = event.kind().equals("log") && matcher.find();
+            if (owned || event.kind().equals("log") && unowned.find()) {
+                long fence = Long.parseLong(owned ? matcher.group(2) : unowned.group(2));
+                String dutyAtProcess = event.source() + " " + (owned ? matcher.group(1) : unowned.group(1));
+                Long before = last.put(dutyAtProcess, fence);
                 if (before != null && (owned ? fence <= before : fence < before)) {
-                    broken.add("at " + of + " fence " + fence + " follows " + before);
+                    violations.add("at " + dutyAtProcess + " fence " + fence + " follows " + before);
                 }
             }
         }
-        history.of("stuck").forEach(s -> broken.add(s.who() + ": " + s.words()));
-        return broken;
+        history.ofKind("stuck").forEach(event -> violations.add(event.source() + ": " + event.text()));
+        return violations;
     }
 }
--- a/src/main/java/plumpost/lab/fleet/FleetLab.java
+++ b/src/main/java/plumpost/lab/fleet/FleetLab.java
@@ -27,97 +27,112 @@
 import plumpost.peers.Peers;
 
 /**
- * A fleet of real processes of the built program on loopback, a directory each, with a fault proxy on every link between
- * them. Each process is ended by its id on every way out, that of this program's own end too.
+ * Fleet of real scheduler processes on loopback, run from the built program, each with its own data directory and with a
+ * fault proxy on every link between them. All processes are killed by {@link #close()} and by a shutdown hook, so that
+ * none outlives this program.
  */
 public final class FleetLab implements Closeable {
-    /** Ports of laboratories that run side by side: each has a range of its own. */
-    private static final int RANGE = 4_000;
-
-    private static final int LOWEST_PORT = 20_000 + Integer.getInteger("plumpost.lab.fork", 1) % 3 * RANGE;
-
-    /** What a fleet is made of. */
-    public record Plan(
-            Path jar, Path like, Path folder, int voters, int followers, int sites, String peersMore, String more) {}
-
-    private final Plan plan;
+    /** Number of ports per test fork: laboratories that run side by side use separate ranges. */
+    private static final int PORT_RANGE = 4_000;
+
+    private static final int LOWEST_PORT = 20_000 + Integer.getInteger("plumpost.lab.fork", 1) % 3 * PORT_RANGE;
+
+    /**
+     * Program, size and settings of a fleet.
+     *
+     * @param configTemplate configuration file from which each process's file is made
+     * @param directory where the configuration files, data and control files are written
+     * @param extraPeerSettings JSON fields added to the settings of the peers, each followed by a comma
+     * @param extraSettings JSON fields added to the configuration, with {@code $site} for the process's site
+     */
+    public record FleetSpec(
+            Path jar,
+            Path configTemplate,
+            Path directory,
+            int voters,
+            int followers,
+            int sites,
+            String extraPeerSettings,
+            String extraSettings) {}
+
+    private final FleetSpec plan;
     private final FaultNet net = new FaultNet();
     private final History history = new History();
-    private final Map<String, One> all = new LinkedHashMap<>();
+    private final Map<String, SchedulerProcess> processes = new LinkedHashMap<>();
     private final Random random = new Random();
     private final Set<Integer> ports = new HashSet<>();
-    private final Fleet.Maker maker = Peers.maker();
-    private final Thread last = new Thread(this::killAll);
+    private final Fleet.Maker peersMaker = Peers.maker();
+    private final Thread shutdownHook = new Thread(this::killAll);
 
-    /** One process: its name, ports and file. */
-    public final class One {
+    /** One scheduler process with its name, ports and configuration file. */
+    public final class SchedulerProcess {
         private final String name;
         private final String site;
-        private final boolean vote;
-        private final int peers = port();
-        private final int http = port();
-        private final int gearman = port();
-        private final int ops = port();
-        private final Path file;
+        private final boolean voter;
+        private final int peerPort = allocatePort();
+        private final int httpPort = allocatePort();
+        private final int gearmanPort = allocatePort();
+        private final int opsPort = allocatePort();
+        private final Path configFile;
         private Map<String, String> environment = Map.of();
         private Process process;
-        private int format = 1;
+        private int recordFormat = 1;
 
-        private One(String name, String site, boolean vote) {
+        private SchedulerProcess(String name, String site, boolean vote) {
             this.name = name;
             this.site = site;
-            this.vote = vote;
-            this.file = plan.folder.resolve(name + ".json");
+            this.voter = vote;
+            this.configFile = plan.directory.resolve(name + ".json");
         }
 
-        /** Its name. */
+        /** Returns the name of the scheduler. */
         public String name() {
             return name;
         }
 
-        /** Its site. */
+        /** Returns the site of the scheduler. */
         public String site() {
             return site;
         }
 
-        /** Where its Gearman front is. */
-        public int gearman() {
-            return gearman;
+        /** Returns the port of its Gearman front. */
+        public int gearmanPort() {
+            return gearmanPort;
         }
 
-        /** Where its front of the platform is. */
-        public int http() {
-            return http;
+        /** Returns the port of its HTTP front. */
+        public int httpPort() {
+            return httpPort;
         }
 
-        /** Where its operators' listener is. */
-        public int ops() {
-            return ops;
+        /** Returns the port of its operators' listener. */
+        public int opsPort() {
+            return opsPort;
         }
 
-        /** Whether it has a vote. */
-        public boolean vote() {
-            return vote;
+        /** Tells whether it has a vote. */
+        public boolean isVoter() {
+            return voter;
         }
 
-        /** Its data directory. */
-        public Path data() {
-            return plan.folder.resolve(name);
+        /** Returns its data directory. */
+        public Path dataDirectory() {
+            return plan.directory.resolve(name);
         }
 
-        /** Whether its process runs, stopped or not. */
-        public boolean runs() {
+        /** Tells whether its process exists, suspended by SIGSTOP or not. */
+        public boolean isRunning() {
             return process != null && process.isAlive();
         }
 
-        /** Its process's id. */
+        /** Returns the id of its latest process. */
         public long pid() {
             return process.pid();
         }
 
-        /** From its next start on it takes itself for a program that reads so new a record format. */
-        public void format(int newest) {
-            format = newest;
+        /** Sets the newest record format that the program reads, from its next start on. */
+        public void setRecordFormat(int newest) {
+            recordFormat = newest;
         }
 
         /** Starts its process. */
@@ -125,9 +140,9 @@
             start(List.of());
         }
 
-        /** Starts its process by a command before java's, for instance one that sets limits. */
-        public void start(List<String> before) throws IOException {
-            List<String> command = new ArrayList<>(before);
+        /** Starts its process with a command in front of java, for instance one that sets resource limits. */
+        public void start(List<String> prefix) throws IOException {
+            List<String> command = new ArrayList<>(prefix);
             command.addAll(List.of(
                     ProcessHandle.current().info().command().orElse("java"),
                     "-XX:+UseSerialGC",
@@ -135,17 +150,17 @@
                     "-Xmx96m",
                     "-Xss256k",
                     "-Djava.net.preferIPv4Stack=true",
-                    "-Dplumpost.lab=" + plan.folder,
-                    "-Dplumpost.lab.format=" + format,
+                    "-Dplumpost.lab=" + plan.directory,
+                    "-Dplumpost.lab.format=" + recordFormat,
                     "-jar",
                     plan.jar.toString(),
                     "serve",
                     "--config",
-                    file.toString()));
-            ProcessBuilder b = new ProcessBuilder(command);
-            b.environment().keySet().removeIf(n -> n.startsWith("NODE_"));
-            b.environment().putAll(environment);
-            process = b.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+                    configFile.toString()));
+            ProcessBuilder builder = new ProcessBuilder(command);
+            builder.environment().keySet().removeIf(n -> n.startsWith("NODE_"));
+            builder.environment().putAll(environment);
+            process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
             history.add(name, "start", Long.toString(process.pid()));
             BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
             Process mine = process;
@@ -163,31 +178,31 @@
             reader.start();
         }
 
-        /** Has its loop stand still at a boundary, such as {@code before Begin}, or go on from there. */
-        public void halt(String boundary, boolean on) throws IOException {
+        /** Makes its event loop halt at a boundary, such as {@code before Begin}, or continue from there. */
+        public void setHalt(String boundary, boolean on) throws IOException {
             history.add(name, on ? "halt" : "go on", boundary);
-            tell(".halt", on ? boundary : null);
+            writeControlFile(".halt", on ? boundary : null);
         }
 
-        /** Makes each sync of its log longer, 0 for as it is. */
-        public void slowDisk(int ms) throws IOException {
+        /** Delays each sync of its log by {@code ms} milliseconds; 0 ends the delay. */
+        public void setSyncDelay(int ms) throws IOException {
             history.add(name, "disk", ms + " ms a sync");
-            tell(".disk", ms > 0 ? Integer.toString(ms) : null);
+            writeControlFile(".disk", ms > 0 ? Integer.toString(ms) : null);
         }
 
-        private void tell(String what, String words) throws IOException {
-            Path control = plan.folder.resolve(name + what);
-            if (words == null) {
+        private void writeControlFile(String suffix, String content) throws IOException {
+            Path control = plan.directory.resolve(name + suffix);
+            if (content == null) {
                 Files.deleteIfExists(control);
             } else {
-                Path whole = plan.folder.resolve(name + what + ".new");
-                Files.writeString(whole, words);
-                Files.move(whole, control, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
+                Path temporary = plan.directory.resolve(name + suffix + ".new");
+                Files.writeString(temporary, content);
+                Files.move(temporary, control, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
             }
         }
 
-        /** What its next process finds in its environment besides, such as a library of faults. */
-        public void environment(Map<String, String> more) {
+        /** Sets additional environment variables for its next process, such as those of a fault library. */
+        public void setEnvironment(Map<String, String> more) {
             environment = Map.copyOf(more);
         }
 
@@ -199,16 +214,16 @@
                     .waitFor();
         }
 
-        /** Waits for its process's end; false where that does not come in time. */
-        public boolean ended(long patienceMs) throws InterruptedException {
-            return process.waitFor(patienceMs, TimeUnit.MILLISECONDS);
+        /** Waits for its process to exit; false on timeout. */
+        public boolean awaitExit(long timeoutMs) throws InterruptedException {
+            return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
         }
 
-        /** Removes its data directory, as a disk that was replaced. */
-        public void wipe() throws IOException {
+        /** Deletes its data directory, as if its disk had been replaced. */
+        public void deleteData() throws IOException {
             history.add(name, "wipe", "");
-            if (Files.exists(data())) {
-                try (Stream<Path> files = Files.walk(data())) {
+            if (Files.exists(dataDirectory())) {
+                try (Stream<Path> files = Files.walk(dataDirectory())) {
                     for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
                         Files.delete(p);
                     }
@@ -217,116 +232,119 @@
         }
 
         private String config(String members) throws IOException {
-            String text = Files.readString(plan.like)
-                    .replace("127.0.0.1:8000", "127.0.0.1:" + http)
-                    .replace("127.0.0.1:4730", "127.0.0.1:" + gearman)
+            String text = Files.readString(plan.configTemplate)
+                    .replace("127.0.0.1:8000", "127.0.0.1:" + httpPort)
+                    .replace("127.0.0.1:4730", "127.0.0.1:" + gearmanPort)
                     .replaceFirst("\"name\": \"[^\"]*\"", "\"name\": \"" + name + "\"");
             return text.replaceFirst(
                     "\"seed\": \"[^\"]*\"",
                     "\"seed\": \"" + Integer.toHexString(name.hashCode()) + "\", "
-                            + plan.more.replace("$site", site) + "\"ops\": \"127.0.0.1:" + ops
+                            + plan.extraSettings.replace("$site", site) + "\"ops\": \"127.0.0.1:" + opsPort
                             + "\", \"peers\": {\"group\": \"lab\", "
-                            + "\"data\": \"" + data() + "\", " + plan.peersMore + "\"members\": [" + members + "]}");
+                            + "\"data\": \"" + dataDirectory() + "\", " + plan.extraPeerSettings + "\"members\": ["
+                            + members + "]}");
         }
     }
 
-    /** A fleet whose processes are not started yet. */
-    public FleetLab(Plan plan) throws IOException {
+    /** Writes the configuration of all processes and opens the links between them; starts none. */
+    public FleetLab(FleetSpec plan) throws IOException {
         this.plan = plan;
-        Files.createDirectories(plan.folder);
+        Files.createDirectories(plan.directory);
         for (int i = 1; i <= plan.voters + plan.followers; i++) {
-            One o = new One("s" + i, "site" + (1 + (i - 1) % plan.sites), i <= plan.voters);
-            all.put(o.name, o);
+            SchedulerProcess process =
+                    new SchedulerProcess("s" + i, "site" + (1 + (i - 1) % plan.sites), i <= plan.voters);
+            processes.put(process.name, process);
         }
-        for (One o : all.values()) {
+        for (SchedulerProcess process : processes.values()) {
             List<String> members = new ArrayList<>();
-            for (One m : all.values()) {
-                int port = m == o ? m.peers : net.link(o.name, m.name, m.peers);
-                members.add("{\"name\": \"" + m.name + "\", \"address\": \"127.0.0.1:" + port + "\", \"site\": \""
-                        + m.site + "\", \"vote\": " + m.vote + "}");
+            for (SchedulerProcess member : processes.values()) {
+                int port =
+                        member == process ? member.peerPort : net.openLink(process.name, member.name, member.peerPort);
+                members.add("{\"name\": \"" + member.name + "\", \"address\": \"127.0.0.1:" + port + "\", \"site\": \""
+                        + member.site + "\", \"vote\": " + member.voter + "}");
             }
-            Files.writeString(o.file, o.config(String.join(", ", members)));
+            Files.writeString(process.configFile, process.config(String.join(", ", members)));
         }
-        Runtime.getRuntime().addShutdownHook(last);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    private int port() {
+    private int allocatePort() {
         while (true) {
-            int p = LOWEST_PORT + random.nextInt(RANGE);
-            if (!ports.add(p)) {
+            int port = LOWEST_PORT + random.nextInt(PORT_RANGE);
+            if (!ports.add(port)) {
                 continue;
             }
-            try (ServerSocket free = new ServerSocket(p, 1, InetAddress.getByName("127.0.0.1"))) {
+            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
                 return free.getLocalPort();
             } catch (IOException e) {
-                // another's: try the next
+                // in use by another program: try the next
             }
         }
     }
 
-    /** The processes, by their order. */
-    public List<One> all() {
-        return List.copyOf(all.values());
+    /** Returns all processes, the voters first. */
+    public List<SchedulerProcess> processes() {
+        return List.copyOf(processes.values());
     }
 
-    /** One of them by name. */
-    public One one(String name) {
-        return all.get(name);
+    /** Returns a process by name, or null. */
+    public SchedulerProcess process(String name) {
+        return processes.get(name);
     }
 
-    /** The links between them. */
+    /** Returns the fault proxy for the links between the processes. */
     public FaultNet net() {
         return net;
     }
 
-    /** What was seen. */
+    /** Returns the history of the fleet. */
     public History history() {
         return history;
     }
 
-    /** Cuts what one sends to all others, what it hears of them, or both; or heals that. */
+    /** Cuts the directions from a process to all others, from them to it, or both; or restores them. */
     public void cutOff(String name, boolean sends, boolean hears, boolean cut) {
         history.add(name, cut ? "cut" : "heal", (sends ? "sends " : "") + (hears ? "hears" : ""));
-        for (String other : all.keySet()) {
+        for (String other : processes.keySet()) {
             if (!other.equals(name)) {
                 if (sends) {
-                    net.cut(name, other, cut);
+                    net.setCut(name, other, cut);
                 }
                 if (hears) {
-                    net.cut(other, name, cut);
+                    net.setCut(other, name, cut);
                 }
             }
         }
     }
 
-    /** What the fleet says of itself, asked through one member's file, or null where nobody answers. */
-    public Fields show(One through) {
+    /** Returns the fleet's status, requested through the configuration of one member, or null if nobody answers. */
+    public Fields show(SchedulerProcess through) {
         try {
-            return Json.object("fleet", call(through, "show", "").getBytes(StandardCharsets.UTF_8));
+            return Json.object("fleet", runCommand(through, "show", "").getBytes(StandardCharsets.UTF_8));
         } catch (IOException | BadInput e) {
             return null;
         }
     }
 
-    /** Runs a command, show, yield or remove, through one member's file. */
-    public String call(One through, String command, String argument) throws IOException {
-        return maker.call(
-                PeersConfig.of(
-                        NodeConfig.from(Json.object("configuration", Files.readAllBytes(through.file)), Map.of())),
+    /** Runs the command show, yield or remove through the configuration of one member. */
+    public String runCommand(SchedulerProcess through, String command, String argument) throws IOException {
+        return peersMaker.call(
+                PeersConfig.of(NodeConfig.from(
+                        Json.object("configuration", Files.readAllBytes(through.configFile)), Map.of())),
                 command,
                 argument);
     }
 
-    /** The owner of a duty by what the fleet says, or an empty text. */
-    public static String owner(Fields page, String duty) {
-        return duty(page, duty, "owner") instanceof String s ? s : "";
+    /** Returns the name of a duty's owner from the fleet's status, or an empty string. */
+    public static String ownerOf(Fields status, String duty) {
+        return dutyField(status, duty, "owner") instanceof String s ? s : "";
     }
 
-    /** A field of a duty by what the fleet says, or null. */
-    public static Object duty(Fields page, String duty, String field) {
-        return page == null
+    /** Returns a field of a duty from the fleet's status, or null. */
+    public static Object dutyField(Fields status, String duty, String field) {
+        return status == null
                 ? null
-                : page.list("duties").stream()
+                : status.list("duties").stream()
                         .map(d -> (Map<?, ?>) d)
                         .filter(d -> duty.equals(d.get("name")))
                         .findFirst()
@@ -334,22 +352,22 @@
                         .orElse(null);
     }
 
-    /** A member's state by what the fleet says, or an empty text. */
-    public static String state(Fields page, String name) {
-        return page == null
+    /** Returns a member's state from the fleet's status, or an empty string. */
+    public static String memberState(Fields status, String name) {
+        return status == null
                 ? ""
-                : page.list("members").stream()
-                        .map(m -> (Map<?, ?>) m)
-                        .filter(m -> name.equals(m.get("name")))
+                : status.list("members").stream()
+                        .map(member -> (Map<?, ?>) member)
+                        .filter(member -> name.equals(member.get("name")))
                         .findFirst()
-                        .map(m -> (String) m.get("state"))
+                        .map(member -> (String) member.get("state"))
                         .orElse("");
     }
 
     private void killAll() {
-        for (One o : all.values()) {
-            if (o.process != null) {
-                o.process.destroyForcibly();
+        for (SchedulerProcess process : processes.values()) {
+            if (process.process != null) {
+                process.process.destroyForcibly();
             }
         }
     }
@@ -357,16 +375,16 @@
     @Override
     public void close() throws IOException {
         killAll();
-        for (One o : all.values()) {
+        for (SchedulerProcess process : processes.values()) {
             try {
-                if (o.process != null) {
-                    o.process.waitFor(10, TimeUnit.SECONDS);
+                if (process.process != null) {
+                    process.process.waitFor(10, TimeUnit.SECONDS);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
         net.close();
-        Runtime.getRuntime().removeShutdownHook(last);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/plumpost/lab/fleet/FleetPlayer.java
+++ b/src/main/java/plumpost/lab/fleet/FleetPlayer.java
@@ -7,64 +7,65 @@
 import java.util.regex.Pattern;
 import plumpost.config.Json.BadInput;
 import plumpost.config.Json.Fields;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 import plumpost.lab.script.Script.Step;
 
 /**
- * Plays faults on a fleet of real processes from texts of the scenario language. A peer is a process by its name, {@code
- * owner}, which is whoever owned the schedule when the last fault struck it, or {@code desk}, at which jobs are handed
- * in. Sent is what is done: {@code kill}, {@code stop}, {@code cont}, {@code term}, {@code start}, {@code yield}, {@code
+ * Plays scripts of the scenario language on a fleet of real processes. A peer is a process by its name; {@code owner}, the
+ * process that owned the schedule when the last fault hit it; or {@code desk}, which submits jobs. What is sent is an
+ * action: {@code kill}, {@code stop}, {@code cont}, {@code term}, {@code start}, {@code yield}, {@code
  * wipe}, {@code cut sends}, {@code cut hears}, {@code cut sends hears}, {@code heal}, {@code disk MS}, {@code halt
- * BOUNDARY}, {@code go on}; of the desk {@code plan PROCESS FUNCTION KEY SECONDS}. Expected is {@code ended}, {@code
- * replaced} (another says that it owns the schedule) or words of the peer's log since the fault.
+ * BOUNDARY}, {@code go on}; for the desk {@code plan PROCESS FUNCTION KEY SECONDS}. What is expected is {@code ended}, {@code
+ * replaced} (another process logs that it owns the schedule) or a text in the peer's log since the last action on a process.
  */
 final class FleetPlayer {
     private static final Pattern OWNED = Pattern.compile("schedule under fence (\\d+) is (\\w+)'s, incarnation (\\d+)");
-    private static final double PATIENCE_MS = 60_000;
-    private static final double REPLACED_MS = 15_000;
+    private static final double TIMEOUT_MS = 60_000;
+    private static final double REPLACEMENT_TIMEOUT_MS = 15_000;
 
     private final FleetLab lab;
-    private One owner;
-    private double struckMs;
-    private String fault = "";
-    private String boundary = "";
+    private SchedulerProcess owner;
+    private double faultAtMs;
+    private String lastFault = "";
+    private String haltBoundary = "";
 
     FleetPlayer(FleetLab lab) {
         this.lab = lab;
     }
 
     /**
-     * Plays one step; how many milliseconds a replacement took, or NaN. A process that does not do what is expected of it
-     * is written into the history as stuck; a replacement that does not come is not, since a word may have been lost.
+     * Plays one step. Returns the milliseconds that a replacement took, infinity if none came in time, or NaN for any other
+     * step. A process that does not do what is expected is recorded in the history as stuck; a missing replacement is
+     * not, since its log line may have been lost.
      */
-    double play(Step s) throws IOException, InterruptedException {
-        switch (s.verb()) {
-            case PASS -> Thread.sleep(Math.round(Double.parseDouble(s.words()) * 1000));
-            case SEND -> send(s);
+    double play(Step step) throws IOException, InterruptedException {
+        switch (step.verb()) {
+            case PASS -> Thread.sleep(Math.round(Double.parseDouble(step.words()) * 1000));
+            case SEND -> send(step);
             case EXPECT -> {
-                return expect(s);
+                return expect(step);
             }
-            default -> throw new BadInput(s.place() + ": a fleet's script sends, expects and waits");
+            default -> throw new BadInput(step.place() + ": a fleet script can only send, expect and wait");
         }
         return Double.NaN;
     }
 
-    private One peer(Step s) throws InterruptedException {
-        One one = s.who().equals("owner") ? owner : lab.one(s.who());
-        if (one == null) {
-            throw new BadInput(s.place() + ": no process " + s.who());
+    private SchedulerProcess target(Step step) throws InterruptedException {
+        SchedulerProcess process = step.who().equals("owner") ? owner : lab.process(step.who());
+        if (process == null) {
+            throw new BadInput(step.place() + ": no process " + step.who());
         }
-        return one;
+        return process;
     }
 
-    private void send(Step s) throws IOException, InterruptedException {
-        List<String> words = Arrays.asList(s.words().split(" "));
-        if (s.who().equals("desk")) {
-            if (words.size() != 5 || !words.get(0).equals("plan") || lab.one(words.get(1)) == null) {
-                throw new BadInput(s.place() + ": " + s.words() + " is not plan PROCESS FUNCTION KEY SECONDS");
+    private void send(Step step) throws IOException, InterruptedException {
+        List<String> words = Arrays.asList(step.words().split(" "));
+        if (step.who().equals("desk")) {
+            if (words.size() != 5 || !words.get(0).equals("plan") || lab.process(words.get(1)) == null) {
+                throw new BadInput(step.place() + ": " + step.words() + " is not plan PROCESS FUNCTION KEY SECONDS");
             }
-            Hands.plan(
-                    lab.one(words.get(1)),
+            LabWorkers.submitScheduled(
+                    lab.process(words.get(1)),
                     lab.history(),
                     words.get(2),
                     words.get(3),
@@ -72,71 +73,71 @@
             return;
         }
         boolean repairs = List.of("cont", "start", "heal", "go").contains(words.get(0));
-        if (s.who().equals("owner") && !repairs) {
+        if (step.who().equals("owner") && !repairs) {
             owner = owner();
         }
-        One one = peer(s);
-        struckMs = lab.history().nowMs();
-        fault = repairs ? fault : s.words();
+        SchedulerProcess process = target(step);
+        faultAtMs = lab.history().nowMs();
+        lastFault = repairs ? lastFault : step.words();
         switch (words.get(0)) {
-            case "kill", "stop", "cont", "term" -> one.signal(words.get(0).toUpperCase(java.util.Locale.ROOT));
-            case "start" -> one.start();
-            case "wipe" -> one.wipe();
-            case "disk" -> one.slowDisk(Integer.parseInt(words.get(1)));
-            case "halt" -> one.halt(boundary = s.words().substring("halt ".length()), true);
-            case "go" -> one.halt(boundary, false);
-            case "cut" -> lab.cutOff(one.name(), words.contains("sends"), words.contains("hears"), true);
-            case "heal" -> lab.cutOff(one.name(), true, true, false);
-            case "yield" -> pass(one);
-            default -> throw new BadInput(s.place() + ": nothing like " + s.words() + " is done to a process");
+            case "kill", "stop", "cont", "term" -> process.signal(words.get(0).toUpperCase(java.util.Locale.ROOT));
+            case "start" -> process.start();
+            case "wipe" -> process.deleteData();
+            case "disk" -> process.setSyncDelay(Integer.parseInt(words.get(1)));
+            case "halt" -> process.setHalt(haltBoundary = step.words().substring("halt ".length()), true);
+            case "go" -> process.setHalt(haltBoundary, false);
+            case "cut" -> lab.cutOff(process.name(), words.contains("sends"), words.contains("hears"), true);
+            case "heal" -> lab.cutOff(process.name(), true, true, false);
+            case "yield" -> yieldSchedule(process);
+            default -> throw new BadInput(step.place() + ": unknown action " + step.words());
         }
     }
 
-    private void pass(One one) throws IOException {
-        lab.history().add(one.name(), "yield", "");
+    private void yieldSchedule(SchedulerProcess process) throws IOException {
+        lab.history().add(process.name(), "yield", "");
         try {
-            lab.call(lab.all().get(0), "yield", "schedule");
+            lab.runCommand(lab.processes().get(0), "yield", "schedule");
         } catch (BadInput e) {
-            lab.history().add(one.name(), "not yielded", e.getMessage());
+            lab.history().add(process.name(), "not yielded", e.getMessage());
         }
     }
 
-    private double expect(Step s) throws IOException, InterruptedException {
-        One one = peer(s);
-        if (s.words().equals("ended")) {
-            if (!one.ended(Math.round(PATIENCE_MS))) {
-                lab.history().add(one.name(), "stuck", "it does not end");
-                one.signal("KILL");
-                one.ended(Math.round(PATIENCE_MS));
+    private double expect(Step step) throws IOException, InterruptedException {
+        SchedulerProcess process = target(step);
+        if (step.words().equals("ended")) {
+            if (!process.awaitExit(Math.round(TIMEOUT_MS))) {
+                lab.history().add(process.name(), "stuck", "it does not end");
+                process.signal("KILL");
+                process.awaitExit(Math.round(TIMEOUT_MS));
             }
-        } else if (s.words().equals("replaced")) {
-            History.Seen other = lab.history().await(struckMs, REPLACED_MS, x -> {
-                Matcher m = x.what().equals("log") ? OWNED.matcher(x.words()) : null;
-                return m != null
-                        && m.find()
-                        && m.group(2).equals(x.who())
-                        && !x.who().equals(one.name());
+        } else if (step.words().equals("replaced")) {
+            History.Event replacement = lab.history().await(faultAtMs, REPLACEMENT_TIMEOUT_MS, event -> {
+                Matcher matcher = event.kind().equals("log") ? OWNED.matcher(event.text()) : null;
+                return matcher != null
+                        && matcher.find()
+                        && matcher.group(2).equals(event.source())
+                        && !event.source().equals(process.name());
             });
-            return other == null ? Double.POSITIVE_INFINITY : other.atMs() - struckMs;
+            return replacement == null ? Double.POSITIVE_INFINITY : replacement.atMs() - faultAtMs;
         } else if (lab.history()
                         .await(
-                                struckMs,
-                                PATIENCE_MS,
-                                x -> x.who().equals(one.name())
-                                        && x.what().equals("log")
-                                        && x.words().contains(s.words()))
+                                faultAtMs,
+                                TIMEOUT_MS,
+                                event -> event.source().equals(process.name())
+                                        && event.kind().equals("log")
+                                        && event.text().contains(step.words()))
                 == null) {
-            lab.history().add(one.name(), "stuck", "it does not say: " + s.words());
+            lab.history().add(process.name(), "stuck", "its log does not contain: " + step.words());
         }
         return Double.NaN;
     }
 
-    private One owner() throws InterruptedException {
+    private SchedulerProcess owner() throws InterruptedException {
         for (int i = 0; i < 600; i++) {
-            for (One o : lab.all()) {
-                Fields page = lab.show(o);
-                if (page != null) {
-                    One found = lab.one(FleetLab.owner(page, "schedule"));
+            for (SchedulerProcess candidate : lab.processes()) {
+                Fields status = lab.show(candidate);
+                if (status != null) {
+                    SchedulerProcess found = lab.process(FleetLab.ownerOf(status, "schedule"));
                     if (found != null) {
                         return found;
                     }
@@ -145,11 +146,11 @@
             }
             Thread.sleep(100);
         }
-        throw new IllegalStateException("nobody owns the schedule for a minute");
+        throw new IllegalStateException("no owner of the schedule found in 60 s");
     }
 
-    /** The words of the last fault. */
-    String fault() {
-        return fault;
+    /** Returns the text of the last fault, or an empty string. */
+    String lastFault() {
+        return lastFault;
     }
 }
--- a/src/main/java/plumpost/lab/fleet/FleetRun.java
+++ b/src/main/java/plumpost/lab/fleet/FleetRun.java
@@ -13,20 +13,21 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import plumpost.config.Json.Fields;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 import plumpost.lab.script.Script;
 
 /**
- * A seeded run of random faults on a fleet of real processes, until the schedule has changed its owner so often: the
- * owner is killed, stopped, cut off one way or both, told to end, or passes its duty on, under scheduled jobs that never
- * cease. Written down is how long nobody owned it; judged is the history alone, by {@link FleetCheck}.
+ * Seeded run of random faults on a fleet of real processes until the schedule has changed its owner a given number of
+ * times. In each round the owner is killed, stopped, cut off in one or both directions, terminated or asked to yield its
+ * duty, while scheduled jobs are submitted. The run records how long nobody owned the schedule; {@link FleetCheck} checks
+ * the history.
  */
 public final class FleetRun {
-    private static final String BACK = "owner expect takes part\n";
-    private static final double PATIENCE_MS = 60_000;
-    private static final long SETTLE_MS = 120_000;
+    private static final String EXPECT_REJOINED = "owner expect takes part\n";
+    private static final double JOIN_TIMEOUT_MS = 60_000;
+    private static final long SETTLE_TIMEOUT_MS = 120_000;
 
-    /** Kinds of fault, each with the owner as what it happens to. */
+    /** Kinds of fault; each is injected at the owner of the schedule. */
     public enum Kind {
         KILL("kill"),
         STOP("stop"),
@@ -43,7 +44,7 @@
             this.words = words;
         }
 
-        /** The kind of a fault by its words in a script. */
+        /** Returns the kind of a fault by its text in a script. */
         static Kind of(String fault) {
             return Arrays.stream(values())
                     .filter(k -> k.words.equals(fault))
@@ -52,27 +53,27 @@
         }
     }
 
-    /** A change: the time from the fault until another process said that it owned the duty. */
+    /** A change of owner: the time from the fault until another process logged that it owned the duty. */
     public record Change(Kind kind, double gapMs) {}
 
     /**
-     * What a run came to.
+     * Result of a run.
      *
      * @param changes changes of owner that the faults caused
-     * @param fences how many ownerships the history shows, those by levelling and return too
-     * @param broken rules that the history breaks, in words
+     * @param fences ownerships in the history, including those from balancing and from the return of a process
+     * @param violations descriptions of the rules that the history breaks
      */
     public record Result(
             long seed,
             int processes,
-            double tookS,
+            double durationS,
             List<Change> changes,
             int fences,
-            int taken,
+            int accepted,
             int runs,
             int givenUp,
-            List<String> broken) {
-        /** The times without an owner by kind of fault. */
+            List<String> violations) {
+        /** Returns histograms of the milliseconds without an owner, by kind of fault. */
         public Map<Kind, Histogram> gaps() {
             Map<Kind, Histogram> all = new TreeMap<>();
             changes.forEach(
@@ -86,9 +87,9 @@
     private final long seed;
     private final PrintStream out;
     private final List<Change> changes = new ArrayList<>();
-    private final List<Hands> hands = new ArrayList<>();
-    private final Map<Kind, Integer> missed = new LinkedHashMap<>();
-    /** Handles of jobs that the fleet says it gave up: it remembers the latest, so they are gathered all along. */
+    private final List<LabWorkers> workers = new ArrayList<>();
+    private final Map<Kind, Integer> withoutChange = new LinkedHashMap<>();
+    /** Handles of jobs that were given up; the fleet remembers only the latest, so they are collected after each round. */
     private final Set<String> givenUp = new HashSet<>();
 
     private final StringBuilder schedule = new StringBuilder();
@@ -96,7 +97,7 @@
     private int jobs;
     private int rounds;
 
-    /** A run on a fleet that is not started yet. */
+    /** Prepares a run on a fleet that has not been started yet. */
     public FleetRun(FleetLab lab, long seed, PrintStream out) {
         this.lab = lab;
         this.seed = seed;
@@ -105,67 +106,69 @@
         player = new FleetPlayer(lab);
     }
 
-    /** Runs until so many changes were seen or so much time is over. */
-    public Result run(int wanted, double mostS) throws IOException, InterruptedException {
-        begin();
-        while (changes.size() < wanted && lab.history().nowMs() < mostS * 1000) {
+    /** Runs until {@code wanted} changes of owner were observed or {@code maxDurationS} is over. */
+    public Result run(int wanted, double maxDurationS) throws IOException, InterruptedException {
+        startFleet();
+        while (changes.size() < wanted && lab.history().nowMs() < maxDurationS * 1000) {
             Kind kind = Kind.values()[random.nextInt(Kind.OTHER.ordinal())];
-            round(kind);
+            runRound(kind);
             if (changes.size() % 10 == 0) {
                 out.printf(
                         "%d changes after %.0f s%n",
                         changes.size(), lab.history().nowMs() / 1000);
             }
         }
-        return end();
+        return finish();
     }
 
-    private void begin() throws IOException, InterruptedException {
-        for (One o : lab.all()) {
-            o.start();
+    private void startFleet() throws IOException, InterruptedException {
+        for (SchedulerProcess process : lab.processes()) {
+            process.start();
         }
-        for (One o : lab.all()) {
-            heard(o);
-            hands.add(new Hands(o, lab.history(), 2, 2, "order-lab", "plan-lab"));
+        for (SchedulerProcess process : lab.processes()) {
+            awaitJoined(process);
+            workers.add(new LabWorkers(process, lab.history(), 2, 2, "order-lab", "plan-lab"));
         }
     }
 
-    private Result end() throws InterruptedException {
-        settle();
-        hands.forEach(Hands::close);
-        List<String> broken = FleetCheck.broken(lab.history(), givenUp);
-        missed.forEach((k, n) -> out.printf("%d faults of kind %s changed no owner in time%n", n, k));
+    private Result finish() throws InterruptedException {
+        awaitScheduleEmpty();
+        workers.forEach(LabWorkers::close);
+        List<String> broken = FleetCheck.findViolations(lab.history(), givenUp);
+        withoutChange.forEach((k, n) -> out.printf("%d faults of kind %s changed no owner in time%n", n, k));
         return new Result(
                 seed,
-                lab.all().size(),
+                lab.processes().size(),
                 lab.history().nowMs() / 1000,
                 List.copyOf(changes),
-                FleetCheck.owners(lab.history()).size(),
-                lab.history().of("taken").size(),
-                lab.history().of("run").size(),
+                FleetCheck.ownersByFence(lab.history()).size(),
+                lab.history().ofKind("taken").size(),
+                lab.history().ofKind("run").size(),
                 givenUp.size(),
                 broken);
     }
 
-    private void heard(One o) throws InterruptedException {
+    private void awaitJoined(SchedulerProcess process) throws InterruptedException {
         if (lab.history()
                         .await(
                                 0,
-                                PATIENCE_MS,
-                                x -> x.who().equals(o.name())
-                                        && x.what().equals("log")
-                                        && x.words().contains("takes part"))
+                                JOIN_TIMEOUT_MS,
+                                event -> event.source().equals(process.name())
+                                        && event.kind().equals("log")
+                                        && event.text().contains("takes part"))
                 == null) {
-            lab.history().add(o.name(), "stuck", "it does not take part");
+            lab.history().add(process.name(), "stuck", "it does not take part");
         }
     }
 
-    /** Draws a fault with jobs before it and its repair after it, as a text of the scenario language. */
-    private String draw(Kind kind) {
+    /** Draws jobs, a fault and its repair, as a script of the scenario language. */
+    private String drawRound(Kind kind) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 4; i++) {
             text.append("desk send plan ")
-                    .append(lab.all().get(random.nextInt(lab.all().size())).name())
+                    .append(lab.processes()
+                            .get(random.nextInt(lab.processes().size()))
+                            .name())
                     .append(' ')
                     .append(random.nextBoolean() ? "order-lab" : "plan-lab")
                     .append(" j")
@@ -177,64 +180,65 @@
         text.append("owner send ").append(kind.words).append("\nowner expect replaced\n");
         return text.append(
                         switch (kind) {
-                            case KILL, TERM -> "owner expect ended\nowner send start\n" + BACK;
-                            case STOP -> "owner send cont\n" + BACK;
-                            case CUT, CUT_SENDS, CUT_HEARS -> "owner send heal\n" + BACK;
+                            case KILL, TERM -> "owner expect ended\nowner send start\n" + EXPECT_REJOINED;
+                            case STOP -> "owner send cont\n" + EXPECT_REJOINED;
+                            case CUT, CUT_SENDS, CUT_HEARS -> "owner send heal\n" + EXPECT_REJOINED;
                             default -> "";
                         })
                 .toString();
     }
 
-    private void round(Kind kind) throws IOException, InterruptedException {
-        String text = draw(kind);
+    private void runRound(Kind kind) throws IOException, InterruptedException {
+        String text = drawRound(kind);
         schedule.append("# ").append(kind).append('\n').append(text);
         play(Script.parse("round " + rounds++, text));
-        for (One o : lab.all()) {
-            Fields page = lab.show(o);
-            if (page != null) {
-                gather(page);
+        for (SchedulerProcess process : lab.processes()) {
+            Fields status = lab.show(process);
+            if (status != null) {
+                collectGivenUp(status);
                 break;
             }
         }
     }
 
-    /** The schedule as it was drawn so far: a text of the scenario language that can be played again. */
+    /** Returns the faults drawn so far as a script of the scenario language, for {@link #replay}. */
     public String schedule() {
         return schedule.toString();
     }
 
-    /** Plays a schedule that was written down in place of drawing one. */
+    /** Plays a recorded script instead of drawing faults. */
     public Result replay(Script script) throws IOException, InterruptedException {
-        begin();
+        startFleet();
         play(script);
-        return end();
+        return finish();
     }
 
     private void play(Script script) throws IOException, InterruptedException {
-        for (Script.Step s : script.steps()) {
-            double gapMs = player.play(s);
+        for (Script.Step step : script.steps()) {
+            double gapMs = player.play(step);
             if (Double.isInfinite(gapMs)) {
-                missed.merge(Kind.of(player.fault()), 1, Integer::sum);
+                withoutChange.merge(Kind.of(player.lastFault()), 1, Integer::sum);
             } else if (!Double.isNaN(gapMs)) {
-                changes.add(new Change(Kind.of(player.fault()), gapMs));
+                changes.add(new Change(Kind.of(player.lastFault()), gapMs));
             }
         }
     }
 
-    private void gather(Fields page) {
-        page.object("schedule").list("givenUp").forEach(o -> givenUp.add(String.valueOf(o)));
+    private void collectGivenUp(Fields status) {
+        status.object("schedule").list("givenUp").forEach(process -> givenUp.add(String.valueOf(process)));
     }
 
-    /** Waits until nothing waits or runs any more. */
-    private void settle() throws InterruptedException {
-        double until = lab.history().nowMs() + SETTLE_MS;
+    /** Waits until no scheduled job is waiting, fired or begun; records the fleet as stuck on timeout. */
+    private void awaitScheduleEmpty() throws InterruptedException {
+        double until = lab.history().nowMs() + SETTLE_TIMEOUT_MS;
         while (lab.history().nowMs() < until) {
-            for (One o : lab.all()) {
-                Fields page = lab.show(o);
-                if (page != null) {
-                    Fields s = page.object("schedule");
-                    gather(page);
-                    if (s.whole("waiting") + s.whole("fired") + s.whole("begun") == 0) {
+            for (SchedulerProcess process : lab.processes()) {
+                Fields status = lab.show(process);
+                if (status != null) {
+                    Fields scheduleStatus = status.object("schedule");
+                    collectGivenUp(status);
+                    if (scheduleStatus.whole("waiting") + scheduleStatus.whole("fired") + scheduleStatus.whole("begun")
+                            == 0) {
                         return;
                     }
                     break;
@@ -242,6 +246,6 @@
             }
             Thread.sleep(200);
         }
-        lab.history().add("fleet", "stuck", "planned jobs are not over after " + SETTLE_MS / 1000 + " s");
+        lab.history().add("fleet", "stuck", "scheduled jobs have not ended after " + SETTLE_TIMEOUT_MS / 1000 + " s");
     }
 }
--- a/src/main/java/plumpost/lab/fleet/Peer.java
+++ b/src/main/java/plumpost/lab/fleet/GearmanConnection.java
@@ -10,44 +10,44 @@
 import plumpost.gearman.Packet.Type;
 import plumpost.gearman.PacketReader;
 
-/** A blocking Gearman connection of the laboratory. */
-final class Peer implements Closeable {
+/** Blocking Gearman connection of a laboratory client or worker. */
+final class GearmanConnection implements Closeable {
     private final Socket socket = new Socket();
     private final PacketReader reader = new PacketReader(Packet.RESPONSE, false, 1 << 24);
     private final byte[] bytes = new byte[65_536];
     private ByteBuffer unread = ByteBuffer.allocate(0);
 
-    Peer(int port, int patienceMs) throws IOException {
+    GearmanConnection(int port, int timeoutMs) throws IOException {
         socket.setTcpNoDelay(true);
         socket.connect(new InetSocketAddress("127.0.0.1", port), 1000);
-        socket.setSoTimeout(patienceMs);
+        socket.setSoTimeout(timeoutMs);
     }
 
     void send(Type type, Object... arguments) throws IOException {
         for (ByteBuffer b : Packet.bytes(Packet.REQUEST, type, arguments)) {
-            byte[] some = new byte[b.remaining()];
-            b.get(some);
-            socket.getOutputStream().write(some);
+            byte[] chunk = new byte[b.remaining()];
+            b.get(chunk);
+            socket.getOutputStream().write(chunk);
         }
     }
 
-    /** The next packet; an exception at the connection's end or when the patience is over. */
+    /** Returns the next packet; throws at the end of the connection, on a malformed packet and on a read timeout. */
     Packet next() throws IOException {
         InputStream in = socket.getInputStream();
         while (true) {
             try {
-                Packet p = reader.next(unread);
-                if (p != null) {
-                    return p;
+                Packet packet = reader.next(unread);
+                if (packet != null) {
+                    return packet;
                 }
             } catch (PacketReader.BadPacket e) {
                 throw new IOException(e);
             }
-            int n = in.read(bytes);
-            if (n < 0) {
-                throw new IOException("the connection has ended");
+            int count = in.read(bytes);
+            if (count < 0) {
+                throw new IOException("connection closed by the scheduler");
             }
-            unread = ByteBuffer.wrap(bytes.clone(), 0, n);
+            unread = ByteBuffer.wrap(bytes.clone(), 0, count);
         }
     }
 
@@ -56,7 +56,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // closing a broken connection: nothing left to release
         }
     }
 }
--- a/src/main/java/plumpost/lab/fleet/History.java
+++ b/src/main/java/plumpost/lab/fleet/History.java
@@ -4,45 +4,45 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** All that was seen of a fleet, with times: what was done to it, what its processes said, each answer and each run. */
+/** Timed record of everything observed of a fleet: faults injected, log lines, answers to clients and runs of jobs. */
 public final class History {
-    /** One thing seen, so many milliseconds after the start. */
-    public record Seen(double atMs, String who, String what, String words) {}
+    /** One observation, {@code atMs} after the start of the history. */
+    public record Event(double atMs, String source, String kind, String text) {}
 
-    private final long began = System.nanoTime();
-    private final List<Seen> all = new ArrayList<>();
+    private final long startNs = System.nanoTime();
+    private final List<Event> events = new ArrayList<>();
 
-    /** The time since the start. */
+    /** Returns the milliseconds since the start of the history. */
     public double nowMs() {
-        return (System.nanoTime() - began) / 1e6;
+        return (System.nanoTime() - startNs) / 1e6;
     }
 
-    /** Writes something down. */
-    public synchronized void add(String who, String what, String words) {
-        all.add(new Seen(nowMs(), who, what, words));
+    /** Appends an event and wakes all threads that wait for one. */
+    public synchronized void add(String source, String kind, String text) {
+        events.add(new Event(nowMs(), source, kind, text));
         notifyAll();
     }
 
-    /** All so far, in order. */
-    public synchronized List<Seen> all() {
-        return List.copyOf(all);
+    /** Returns all events so far, in order. */
+    public synchronized List<Event> events() {
+        return List.copyOf(events);
     }
 
-    /** What of a kind was seen. */
-    public List<Seen> of(String what) {
-        return all().stream().filter(s -> s.what.equals(what)).toList();
+    /** Returns all events of a kind, in order. */
+    public List<Event> ofKind(String kind) {
+        return events().stream().filter(event -> event.kind.equals(kind)).toList();
     }
 
-    /** Waits until something that was seen after a time fits; returns it, or null when the patience is over. */
-    public synchronized Seen await(double afterMs, double patienceMs, Predicate<Seen> fits)
+    /** Waits for a matching event at or after {@code afterMs}; returns the first one, or null on timeout. */
+    public synchronized Event await(double afterMs, double timeoutMs, Predicate<Event> matches)
             throws InterruptedException {
-        double until = nowMs() + patienceMs;
+        double until = nowMs() + timeoutMs;
         int from = 0;
         while (true) {
-            for (; from < all.size(); from++) {
-                Seen s = all.get(from);
-                if (s.atMs >= afterMs && fits.test(s)) {
-                    return s;
+            for (; from < events.size(); from++) {
+                Event event = events.get(from);
+                if (event.atMs >= afterMs && matches.test(event)) {
+                    return event;
                 }
             }
             double left = until - nowMs();
--- a/src/test/java/plumpost/lab/fleet/BoundariesIT.java
+++ b/src/test/java/plumpost/lab/fleet/BoundariesIT.java
@@ -6,19 +6,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import plumpost.config.Json.Fields;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
 /**
- * A scheduler is killed, or stopped and woken later, at every boundary of a deed on behalf of the fleet: before its
- * intent, between intent and deed, between deed and record. Its loop stands still just there, so no chance is in it.
- * Two of the five have no vote.
+ * Kills a scheduler, or stops and later continues it, at every boundary of an action on behalf of the fleet: before its
+ * intent is recorded, between intent and action, and between action and record of the outcome. A failpoint halts its event
+ * loop exactly there, so the tests do not depend on timing. Two of the five processes have no vote.
  */
 @Timeout(600)
-class BoundariesIT extends FleetRig {
-    private record Boundary(String place, boolean owners, int least, int most, boolean givenUp) {}
+class BoundariesIT extends FleetTestBase {
+    private record Boundary(String name, boolean atOwner, int minRuns, int maxRuns, boolean givenUp) {}
 
-    /** Where one stands still, whether as the schedule's owner, and what that may come to for an order. */
-    private static final List<Boundary> ALL = List.of(
+    /** Where a process halts, whether it is the owner of the schedule, and what may then become of an order. */
+    private static final List<Boundary> BOUNDARIES = List.of(
             new Boundary("before Fire", true, 1, 1, false),
             new Boundary("after Fire", true, 1, 1, false),
             new Boundary("before Begin", false, 1, 1, false),
@@ -30,119 +30,125 @@
 
     private int round;
 
-    /** Guards against a deed that is done again, or lost, where its doer ends or falls asleep in the middle of it. */
+    /** Guards against an order that is repeated or lost when its scheduler is killed or stopped in the middle of an action. */
     @Test
     void whoeverEndsAtABoundaryLeavesEachOrderOnceOrGivenUp() throws Exception {
-        fleet(3, 2, 3, "");
-        for (Boundary b : ALL) {
+        startFleet(3, 2, 3, "");
+        for (Boundary boundary : BOUNDARIES) {
             for (String fault : List.of("KILL", "STOP")) {
-                round(b, fault, true);
+                killOrStopAt(boundary, fault, true);
             }
         }
     }
 
-    /** Guards what may run twice: it goes on elsewhere wherever its scheduler ended. */
+    /** Guards jobs that may run twice: they continue elsewhere wherever their scheduler ended. */
     @Test
     void whatMayRunTwiceGoesOnElsewhere() throws Exception {
-        fleet(3, 2, 3, "");
-        for (Boundary b : ALL.subList(2, 7)) {
-            round(b, b.place.equals("before End") ? "KILL" : "STOP", false);
+        startFleet(3, 2, 3, "");
+        for (Boundary boundary : BOUNDARIES.subList(2, 7)) {
+            killOrStopAt(boundary, boundary.name.equals("before End") ? "KILL" : "STOP", false);
         }
     }
 
-    private void round(Boundary b, String fault, boolean order) throws Exception {
+    private void killOrStopAt(Boundary boundary, String fault, boolean order) throws Exception {
         String function = (order ? "order-" : "plan-") + ++round;
         String key = "k" + round;
-        String what = b.place + ", " + fault + ", " + function;
-        One owner = ownerBesideTheLeader();
-        String leader = page().text("leader");
-        One runner = lab.all().stream()
-                .filter(o -> o != owner && !o.name().equals(leader))
+        String description = boundary.name + ", " + fault + ", " + function;
+        SchedulerProcess owner = moveScheduleOffLeader();
+        String leader = showFleet().text("leader");
+        SchedulerProcess runner = lab.processes().stream()
+                .filter(process -> process != owner && !process.name().equals(leader))
                 .findFirst()
                 .orElseThrow();
-        One other = lab.all().stream()
-                .filter(o -> o != owner && o != runner && !o.name().equals(leader))
+        SchedulerProcess other = lab.processes().stream()
+                .filter(process ->
+                        process != owner && process != runner && !process.name().equals(leader))
                 .findFirst()
                 .orElseThrow();
-        One victim = b.owners ? owner : runner;
-        victim.halt(b.place, true);
-        Hands first = new Hands(runner, lab.history(), 1, 1, function);
-        hands.add(first);
-        double at = lab.history().nowMs();
-        until(
-                what + ": its job is taken",
-                () -> Hands.plan(other, lab.history(), function, key, System.currentTimeMillis() / 1000) != null);
-        said(victim, at, "halts " + b.place);
+        SchedulerProcess victim = boundary.atOwner ? owner : runner;
+        victim.setHalt(boundary.name, true);
+        LabWorkers first = new LabWorkers(runner, lab.history(), 1, 1, function);
+        workers.add(first);
+        double startedAtMs = lab.history().nowMs();
+        awaitUntil(
+                description + ": its job is taken",
+                () -> LabWorkers.submitScheduled(other, lab.history(), function, key, System.currentTimeMillis() / 1000)
+                        != null);
+        awaitLogLine(victim, startedAtMs, "halts " + boundary.name);
         victim.signal(fault);
-        said(other, at, victim.name() + ", incarnation ");
-        Hands second = new Hands(other, lab.history(), 1, 1, function);
-        hands.add(second);
-        victim.halt(b.place, false);
+        awaitLogLine(other, startedAtMs, victim.name() + ", incarnation ");
+        LabWorkers second = new LabWorkers(other, lab.history(), 1, 1, function);
+        workers.add(second);
+        victim.setHalt(boundary.name, false);
         double woken = lab.history().nowMs();
         if (fault.equals("KILL")) {
-            assertThat(victim.ended(PATIENCE_MS)).isTrue();
+            assertThat(victim.awaitExit(TIMEOUT_MS)).isTrue();
             victim.start();
         } else {
             victim.signal("CONT");
-            said(victim, woken, "is over: ");
+            awaitLogLine(victim, woken, "is over: ");
         }
-        joined(victim, woken);
+        awaitJoined(victim, woken);
         if (order) {
-            onceOrGivenUp(List.of(key));
-            Fields page = page();
-            assertThat(runs(key)).as(what).isBetween((long) b.least, (long) b.most);
-            assertThat(givenUp(page, key)).as(what + ": given up").isEqualTo(b.givenUp);
+            assertEachRanOnceOrWasGivenUp(List.of(key));
+            Fields status = showFleet();
+            assertThat(runCount(key)).as(description).isBetween((long) boundary.minRuns, (long) boundary.maxRuns);
+            assertThat(isGivenUp(status, key)).as(description + ": given up").isEqualTo(boundary.givenUp);
         } else {
-            until(what + ": it runs", () -> runs(key) > 0);
-            until(what + ": nothing is left", () -> page().object("schedule").whole("begun") == 0);
-            assertThat(runs(key)).as(what).isLessThanOrEqualTo(2);
+            awaitUntil(description + ": it runs", () -> runCount(key) > 0);
+            awaitUntil(
+                    description + ": nothing is left",
+                    () -> showFleet().object("schedule").whole("begun") == 0);
+            assertThat(runCount(key)).as(description).isLessThanOrEqualTo(2);
         }
         first.close();
         second.close();
     }
 
-    /** Guards discovery's word: an owner that was stopped between check and word is refused when it wakes. */
+    /** Guards the record of discovery: an owner that was stopped between check and record is refused when it continues. */
     @Test
     void aWordOfAnOwnerThatSleptIsRefused() throws Exception {
-        try (DiscoveryStand discovery = new DiscoveryStand(3)) {
-            fleet(3, 0, 1, "\"discovery\": \"127.0.0.1:" + discovery.port() + "\", ");
-            for (String place : List.of("before Word", "after Word")) {
+        try (DiscoveryStub discovery = new DiscoveryStub(3)) {
+            startFleet(3, 0, 1, "\"discovery\": \"127.0.0.1:" + discovery.port() + "\", ");
+            for (String boundary : List.of("before Word", "after Word")) {
                 for (String fault : List.of("STOP", "KILL")) {
-                    until("the owner does not lead", () -> {
-                        Fields f = page();
-                        if (f.text("leader").equals(FleetLab.owner(f, "discovery/site1"))) {
-                            lab.call(lab.all().get(0), "yield", "discovery/site1");
+                    awaitUntil("the owner does not lead", () -> {
+                        Fields status = showFleet();
+                        if (status.text("leader").equals(FleetLab.ownerOf(status, "discovery/site1"))) {
+                            lab.runCommand(lab.processes().get(0), "yield", "discovery/site1");
                             return false;
                         }
                         return true;
                     });
-                    One owner = lab.one(owner("discovery/site1"));
-                    long fence = ((Number) FleetLab.duty(page(), "discovery/site1", "fence")).longValue();
-                    double at = lab.history().nowMs();
-                    owner.halt(place, true);
-                    said(owner, at, "halts " + place);
+                    SchedulerProcess owner = lab.process(owner("discovery/site1"));
+                    long fence = ((Number) FleetLab.dutyField(showFleet(), "discovery/site1", "fence")).longValue();
+                    double startedAtMs = lab.history().nowMs();
+                    owner.setHalt(boundary, true);
+                    awaitLogLine(owner, startedAtMs, "halts " + boundary);
                     owner.signal(fault);
-                    until("another owns it", () -> !owner("discovery/site1").equals(owner.name()));
-                    owner.halt(place, false);
+                    awaitUntil(
+                            "another owns it", () -> !owner("discovery/site1").equals(owner.name()));
+                    owner.setHalt(boundary, false);
                     if (fault.equals("KILL")) {
-                        assertThat(owner.ended(PATIENCE_MS)).isTrue();
+                        assertThat(owner.awaitExit(TIMEOUT_MS)).isTrue();
                         owner.start();
                     } else {
                         owner.signal("CONT");
-                        if (place.startsWith("before")) {
-                            said(owner, at, "refused Word: fence " + fence + " of discovery/site1 is old");
+                        if (boundary.startsWith("before")) {
+                            awaitLogLine(
+                                    owner, startedAtMs, "refused Word: fence " + fence + " of discovery/site1 is old");
                         }
                     }
-                    joined(owner, at + 1);
-                    until("all know the list", () -> {
-                        for (One o : lab.all()) {
-                            if (figure(o, "discovered") != 3) {
+                    awaitJoined(owner, startedAtMs + 1);
+                    awaitUntil("all know the list", () -> {
+                        for (SchedulerProcess process : lab.processes()) {
+                            if (readCounter(process, "discovered") != 3) {
                                 return false;
                             }
                         }
                         return true;
                     });
-                    until("one follows", () -> discovery.followers() == 1);
+                    awaitUntil("one follows", () -> discovery.followers() == 1);
                 }
             }
         }
--- a/src/test/java/plumpost/lab/fleet/DiscoveryStand.java
+++ b/src/test/java/plumpost/lab/fleet/DiscoveryStub.java
@@ -10,30 +10,30 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A stand-in of the discovery service by the platform's protocol: one list, followed by whoever asks; counts them. */
-final class DiscoveryStand implements Closeable {
-    private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+/** Discovery service for tests: serves one fixed list of draining nodes to all followers; counts requests and followers. */
+final class DiscoveryStub implements Closeable {
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final Set<Socket> following = ConcurrentHashMap.newKeySet();
     private final String list;
-    volatile int asked;
+    volatile int requests;
 
-    DiscoveryStand(int nodes) throws IOException {
-        StringBuilder all = new StringBuilder("{\"seq\":7,\"whole\":true,\"hosts\":[");
+    DiscoveryStub(int nodes) throws IOException {
+        StringBuilder json = new StringBuilder("{\"seq\":7,\"whole\":true,\"hosts\":[");
         for (int i = 0; i < nodes; i++) {
-            all.append(i == 0 ? "" : ",")
+            json.append(i == 0 ? "" : ",")
                     .append("{\"host\":\"n")
                     .append(i)
                     .append("\",\"dial\":\"127.0.0.1:1\",\"health\":"
                             + "\"draining\",\"site\":\"plant-1\",\"class\":\"gearman\",\"share\":1.0,\"born_ms\":0}");
         }
-        list = all.append("]}\n").toString();
-        Thread t = new Thread(this::accept, "discovery");
-        t.setDaemon(true);
-        t.start();
+        list = json.append("]}\n").toString();
+        Thread thread = new Thread(this::accept, "discovery");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     int port() {
-        return door.getLocalPort();
+        return listener.getLocalPort();
     }
 
     int followers() {
@@ -41,33 +41,33 @@
     }
 
     private void accept() {
-        while (!door.isClosed()) {
+        while (!listener.isClosed()) {
             try {
-                Socket s = door.accept();
-                Thread t = new Thread(() -> serve(s), "discovery call");
-                t.setDaemon(true);
-                t.start();
+                Socket socket = listener.accept();
+                Thread thread = new Thread(() -> serve(socket), "discovery call");
+                thread.setDaemon(true);
+                thread.start();
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket s) {
-        try (s) {
-            byte[] call = new byte[4096];
-            if (s.getInputStream().read(call) <= 0) {
+    private void serve(Socket socket) {
+        try (socket) {
+            byte[] request = new byte[4096];
+            if (socket.getInputStream().read(request) <= 0) {
                 return;
             }
-            asked++;
-            following.add(s);
-            OutputStream out = s.getOutputStream();
+            requests++;
+            following.add(socket);
+            OutputStream out = socket.getOutputStream();
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            chunk(out, new String(call, StandardCharsets.US_ASCII).contains("since=7") ? "\n" : list);
-            s.setSoTimeout(500);
+            chunk(out, new String(request, StandardCharsets.US_ASCII).contains("since=7") ? "\n" : list);
+            socket.setSoTimeout(500);
             while (true) {
                 try {
-                    if (s.getInputStream().read() < 0) {
+                    if (socket.getInputStream().read() < 0) {
                         return;
                     }
                 } catch (java.net.SocketTimeoutException e) {
@@ -75,9 +75,9 @@
                 }
             }
         } catch (IOException e) {
-            // it has gone
+            // the follower has closed its connection
         } finally {
-            following.remove(s);
+            following.remove(socket);
         }
     }
 
@@ -88,6 +88,6 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
     }
 }
--- a/src/test/java/plumpost/lab/fleet/DisksIT.java
+++ b/src/test/java/plumpost/lab/fleet/DisksIT.java
@@ -11,100 +11,102 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
-/** Disks that are slow, and logs whose end was torn or whose middle was spoilt. */
+/** Slow disks, a log with a torn last record, and a log that is corrupt in the middle. */
 @Timeout(300)
-class DisksIT extends FleetRig {
+class DisksIT extends FleetTestBase {
 
-    /** Guards against one disk of two seconds a sync: its scheduler is passed over, and all goes on. */
+    /** Guards against one disk with two-second syncs: its scheduler loses duty and new work, the others are not delayed. */
     @Test
     void oneSlowDiskCostsTheOthersNothing() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
-        One owner = ownerBesideTheLeader();
-        owner.slowDisk(2000);
-        List<String> keys = plan(12, "order-it", "one", 1000);
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
+        SchedulerProcess owner = moveScheduleOffLeader();
+        owner.setSyncDelay(2000);
+        List<String> keys = submitScheduled(12, "order-it", "one", 1000);
         assertThat(keys).as("a majority has quick disks").hasSize(12);
-        eachOnce(keys);
-        until("its duty is another's", () -> !List.of("", owner.name()).contains(owner("schedule")));
-        until(
+        assertEachRanOnce(keys);
+        awaitUntil("its duty is another's", () -> !List.of("", owner.name()).contains(owner("schedule")));
+        awaitUntil(
                 "nothing new goes to it",
-                () -> FleetLab.state(page(), owner.name()).equals("suspect"));
+                () -> FleetLab.memberState(showFleet(), owner.name()).equals("suspect"));
         double at = lab.history().nowMs();
-        List<String> more = planAt(12, "order-it", "more", 1);
-        eachOnce(more);
-        assertThat(lab.history().all())
-                .noneMatch(s -> s.atMs() > at
-                        && s.who().equals(owner.name())
-                        && s.what().equals("run")
-                        && more.contains(s.words()));
-        owner.slowDisk(0);
-        until(
+        List<String> more = submitScheduledAt(12, "order-it", "more", 1);
+        assertEachRanOnce(more);
+        assertThat(lab.history().events())
+                .noneMatch(event -> event.atMs() > at
+                        && event.source().equals(owner.name())
+                        && event.kind().equals("run")
+                        && more.contains(event.text()));
+        owner.setSyncDelay(0);
+        awaitUntil(
                 "it is as the others again",
-                () -> FleetLab.state(page(), owner.name()).equals("alive"));
+                () -> FleetLab.memberState(showFleet(), owner.name()).equals("alive"));
     }
 
-    /** Guards against a majority of such disks: nothing that was acknowledged is lost, and it comes back by itself. */
+    /** Guards against slow disks at all members: no acknowledged job is lost, and the fleet recovers by itself. */
     @Test
     void slowDisksEverywhereDelayAndBreakNoRule() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
-        List<String> keys = plan(12, "order-it", "b", 1500);
-        for (One o : lab.all()) {
-            o.slowDisk(2000);
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
+        List<String> keys = submitScheduled(12, "order-it", "b", 1500);
+        for (SchedulerProcess process : lab.processes()) {
+            process.setSyncDelay(2000);
         }
-        keys.addAll(plan(12, "order-it", "s", 1000)); // mostly answered that it is not known: such a job may run once
-        for (One o : lab.all()) {
-            o.slowDisk(0);
+        keys.addAll(submitScheduled(
+                12, "order-it", "s", 1000)); // mostly answered as not agreed on: such a job may run once
+        for (SchedulerProcess process : lab.processes()) {
+            process.setSyncDelay(0);
         }
-        until("jobs are taken as before", () -> {
-            keys.addAll(plan(3, "order-it", "a" + keys.size() + "-", 0));
-            return lab.history().of("taken").stream().anyMatch(s -> s.words().startsWith("a"));
+        awaitUntil("jobs are taken as before", () -> {
+            keys.addAll(submitScheduled(3, "order-it", "a" + keys.size() + "-", 0));
+            return lab.history().ofKind("taken").stream()
+                    .anyMatch(event -> event.text().startsWith("a"));
         });
-        onceOrGivenUp(keys);
+        assertEachRanOnceOrWasGivenUp(keys);
         for (int i = 0; i < 12; i++) {
-            assertThat(runs("s" + i)).isLessThanOrEqualTo(1);
+            assertThat(runCount("s" + i)).isLessThanOrEqualTo(1);
         }
     }
 
-    /** Guards against a crash in the middle of a write: the torn record was never agreed on by this disk. */
+    /** Guards against a crash during a write: this disk never confirmed the torn record, so it is fetched again. */
     @Test
     void aTornLastRecordIsFetchedAgainAndASpoiltOneIsNamed() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
-        List<String> keys = plan(12, "order-it", "o", 3000);
-        One torn = lab.all().stream()
-                .filter(o -> !o.name().equals(page().text("leader")))
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
+        List<String> keys = submitScheduled(12, "order-it", "o", 3000);
+        SchedulerProcess torn = lab.processes().stream()
+                .filter(process -> !process.name().equals(showFleet().text("leader")))
                 .findFirst()
                 .orElseThrow();
         torn.signal("KILL");
-        assertThat(torn.ended(PATIENCE_MS)).isTrue();
-        Path log = lastLog(torn);
-        try (RandomAccessFile f = new RandomAccessFile(log.toFile(), "rw")) {
-            f.setLength(end(f) - 3);
+        assertThat(torn.awaitExit(TIMEOUT_MS)).isTrue();
+        Path log = latestLogFile(torn);
+        try (RandomAccessFile file = new RandomAccessFile(log.toFile(), "rw")) {
+            file.setLength(endOfContent(file) - 3);
         }
-        double again = lab.history().nowMs();
+        double restartedAtMs = lab.history().nowMs();
         torn.start();
-        joined(torn, again);
-        eachOnce(keys);
+        awaitJoined(torn, restartedAtMs);
+        assertEachRanOnce(keys);
         double killed = lab.history().nowMs();
         torn.signal("KILL");
-        assertThat(torn.ended(PATIENCE_MS)).isTrue();
-        try (RandomAccessFile f = new RandomAccessFile(lastLog(torn).toFile(), "rw")) {
-            long at = end(f) / 2;
-            f.seek(at);
-            int b = f.read();
-            f.seek(at);
-            f.write(b ^ 0x55);
+        assertThat(torn.awaitExit(TIMEOUT_MS)).isTrue();
+        try (RandomAccessFile file = new RandomAccessFile(latestLogFile(torn).toFile(), "rw")) {
+            long at = endOfContent(file) / 2;
+            file.seek(at);
+            int b = file.read();
+            file.seek(at);
+            file.write(b ^ 0x55);
         }
         torn.start();
-        said(torn, killed, "takes part no longer and serves on by itself");
-        until(
+        awaitLogLine(torn, killed, "takes part no longer and serves on by itself");
+        awaitUntil(
                 "the others go on",
-                () -> Hands.plan(
-                                lab.all().stream()
-                                        .filter(o -> o != torn)
+                () -> LabWorkers.submitScheduled(
+                                lab.processes().stream()
+                                        .filter(process -> process != torn)
                                         .findFirst()
                                         .orElseThrow(),
                                 lab.history(),
@@ -112,17 +114,17 @@
                                 "after",
                                 1)
                         != null);
-        eachOnce(List.of("after"));
+        assertEachRanOnce(List.of("after"));
         torn.signal("KILL");
-        assertThat(torn.ended(PATIENCE_MS)).isTrue();
-        torn.wipe();
-        again = lab.history().nowMs();
+        assertThat(torn.awaitExit(TIMEOUT_MS)).isTrue();
+        torn.deleteData();
+        restartedAtMs = lab.history().nowMs();
         torn.start();
-        joined(torn, again);
+        awaitJoined(torn, restartedAtMs);
     }
 
-    private static Path lastLog(One o) throws IOException {
-        try (Stream<Path> files = Files.walk(o.data().resolve("log"))) {
+    private static Path latestLogFile(SchedulerProcess process) throws IOException {
+        try (Stream<Path> files = Files.walk(process.dataDirectory().resolve("log"))) {
             return files.filter(p -> p.getFileName().toString().startsWith("log_"))
                     .max(Comparator.comparingLong(p -> Long.parseLong(p.getFileName()
                             .toString()
@@ -133,12 +135,12 @@
         }
     }
 
-    /** Where what was written ends: behind it lie the zeros that the engine set aside. */
-    private static long end(RandomAccessFile f) throws IOException {
-        long at = f.length();
+    /** Returns the end of the written records; the zeros behind them are space preallocated by the engine. */
+    private static long endOfContent(RandomAccessFile file) throws IOException {
+        long at = file.length();
         do {
-            f.seek(--at);
-        } while (at > 0 && f.read() == 0);
+            file.seek(--at);
+        } while (at > 0 && file.read() == 0);
         return at + 1;
     }
 }
--- a/src/test/java/plumpost/lab/fleet/FleetIT.java
+++ b/src/test/java/plumpost/lab/fleet/FleetIT.java
@@ -5,126 +5,134 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
-/** Real processes of the built program with faults between them. Rules are judged; times are waited for with wide bounds. */
+/** Real processes of the built program under faults. The tests check rules, not times; time limits are generous. */
 @Timeout(180)
-class FleetIT extends FleetRig {
-    /** Guards the schedule of the fleet: whoever took a job and whoever dies, what was acknowledged runs, and once. */
+class FleetIT extends FleetTestBase {
+    /** Guards scheduled jobs against the death of the owner: each acknowledged job runs once, wherever it was submitted. */
     @Test
     void scheduledJobsRunOnceThoughTheirTakerAndTheOwnerAreKilled() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it", "plan-it");
-        List<String> keys = planEach(30, "order-it", "o", 4000);
-        keys.addAll(planEach(30, "plan-it", "p", 4000));
-        One owner = lab.one(owner("schedule"));
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it", "plan-it");
+        List<String> keys = submitScheduledUntilAccepted(30, "order-it", "o", 4000);
+        keys.addAll(submitScheduledUntilAccepted(30, "plan-it", "p", 4000));
+        SchedulerProcess owner = lab.process(owner("schedule"));
         long before = fence();
         owner.signal("KILL");
-        until(
+        awaitUntil(
                 "another owns the schedule",
                 () -> !owner("schedule").isEmpty() && !owner("schedule").equals(owner.name()));
         assertThat(fence()).isGreaterThan(before);
-        eachOnce(keys);
+        assertEachRanOnce(keys);
         double started = lab.history().nowMs();
         owner.start();
-        joined(owner, started);
-        until("it takes jobs", () -> Hands.plan(owner, lab.history(), "order-it", "again", 1) != null);
-        eachOnce(List.of("again"));
+        awaitJoined(owner, started);
+        awaitUntil(
+                "it takes jobs",
+                () -> LabWorkers.submitScheduled(owner, lab.history(), "order-it", "again", 1) != null);
+        assertEachRanOnce(List.of("again"));
     }
 
-    /** Guards against an owner that wakes up late: what it still believes is refused, and nothing runs twice. */
+    /** Guards against an owner that continues after a stop: its outdated entries are refused, and nothing runs twice. */
     @Test
     void anOwnerThatWasStoppedDoesNoHarmWhenItWakes() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
         for (int round = 0; round < 2; round++) {
-            One owner = lab.one(owner("schedule"));
-            List<String> keys = plan(40, "order-it", "r" + round + "-", 2000);
+            SchedulerProcess owner = lab.process(owner("schedule"));
+            List<String> keys = submitScheduled(40, "order-it", "r" + round + "-", 2000);
             Thread.sleep(1500);
             owner.signal("STOP");
-            until(
+            awaitUntil(
                     "another owns the schedule",
-                    () -> lab.all().stream().filter(o -> o != owner).anyMatch(o -> {
-                        String now = FleetLab.owner(lab.show(o), "schedule");
-                        return !now.isEmpty() && !now.equals(owner.name());
-                    }));
+                    () -> lab.processes().stream()
+                            .filter(process -> process != owner)
+                            .anyMatch(process -> {
+                                String now = FleetLab.ownerOf(lab.show(process), "schedule");
+                                return !now.isEmpty() && !now.equals(owner.name());
+                            }));
             Thread.sleep(500);
             double woken = lab.history().nowMs();
             owner.signal("CONT");
             assertThat(lab.history()
                             .await(
                                     woken,
-                                    PATIENCE_MS,
-                                    s -> s.who().equals(owner.name())
-                                            && s.words().contains("is over")))
+                                    TIMEOUT_MS,
+                                    event -> event.source().equals(owner.name())
+                                            && event.text().contains("is over")))
                     .as("it learns that its life is over")
                     .isNotNull();
-            joined(owner, woken);
-            onceOrGivenUp(keys);
+            awaitJoined(owner, woken);
+            assertEachRanOnceOrWasGivenUp(keys);
         }
     }
 
-    /** Guards the orderly end: an owner that is told to stop passes its duty on at once, and all restart in turn. */
+    /** Guards the orderly shutdown: a terminated owner yields its duty at once, and a rolling restart loses no job. */
     @Test
     void sigtermYieldsAtOnceAndARollingRestartLosesNothing() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
-        List<String> keys = plan(30, "order-it", "o", 9000);
-        for (One o : lab.all()) {
-            boolean owned = owner("schedule").equals(o.name());
-            double at = lab.history().nowMs();
-            o.signal("TERM");
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
+        List<String> keys = submitScheduled(30, "order-it", "o", 9000);
+        for (SchedulerProcess process : lab.processes()) {
+            boolean owned = owner("schedule").equals(process.name());
+            double signalledAtMs = lab.history().nowMs();
+            process.signal("TERM");
             if (owned) {
                 assertThat(lab.history()
                                 .await(
-                                        at,
-                                        PATIENCE_MS,
-                                        s -> s.what().equals("log") && s.words().contains("was " + o.name() + "'s")))
+                                        signalledAtMs,
+                                        TIMEOUT_MS,
+                                        event -> event.kind().equals("log")
+                                                && event.text().contains("was " + process.name() + "'s")))
                         .as("another owns it")
                         .isNotNull();
             }
-            assertThat(o.ended(PATIENCE_MS)).isTrue();
-            o.start();
-            joined(o, at);
+            assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
+            process.start();
+            awaitJoined(process, signalledAtMs);
         }
-        eachOnce(keys);
+        assertEachRanOnce(keys);
     }
 
-    /** Guards the operators' bans: said at one they hold at all, outlive the end of every process, and end by one call. */
+    /** Guards the operators' bans: set at one member they hold at all, survive a restart of all, and end by one call. */
     @Test
     void bansHoldForTheFleetAndOutliveARestartOfAll() throws Exception {
-        fleet(
+        startFleet(
                 3,
                 0,
                 3,
                 "\"discovery\": \"127.0.0.1:1\", \"known\": {\"seq\": 1, \"whole\": true, \"hosts\": [{\"host\": \"n1\", \"dial\": \"127.0.0.1:1\", "
                         + "\"health\": \"up\", \"site\": \"plant-1\", \"class\": \"gearman\", \"share\": 1.0, \"born_ms\": 0}]}, ");
-        One first = lab.all().get(0);
-        One second = lab.all().get(1);
-        assertThat(call(first, "n9/offline")).isEqualTo(404);
-        assertThat(call(first, "n1/offline")).isEqualTo(200);
-        until("it holds everywhere", () -> page().list("offline").equals(List.of("n1")));
+        SchedulerProcess first = lab.processes().get(0);
+        SchedulerProcess second = lab.processes().get(1);
+        assertThat(callOperatorApi(first, "n9/offline")).isEqualTo(404);
+        assertThat(callOperatorApi(first, "n1/offline")).isEqualTo(200);
+        awaitUntil("it holds everywhere", () -> showFleet().list("offline").equals(List.of("n1")));
         double killed = lab.history().nowMs();
-        for (One o : lab.all()) {
-            o.signal("KILL");
+        for (SchedulerProcess process : lab.processes()) {
+            process.signal("KILL");
         }
-        for (One o : List.of(second, lab.all().get(2), first)) {
-            assertThat(o.ended(PATIENCE_MS)).isTrue();
-            o.start();
+        for (SchedulerProcess process : List.of(second, lab.processes().get(2), first)) {
+            assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
+            process.start();
         }
-        for (One o : lab.all()) {
-            joined(o, killed);
+        for (SchedulerProcess process : lab.processes()) {
+            awaitJoined(process, killed);
         }
-        assertThat(page().list("offline")).isEqualTo(List.of("n1"));
-        until("the fleet takes it back", () -> call(second, "n1/online") == 200);
-        until("it is back", () -> page().list("offline").isEmpty());
+        assertThat(showFleet().list("offline")).isEqualTo(List.of("n1"));
+        awaitUntil("the fleet takes it back", () -> callOperatorApi(second, "n1/online") == 200);
+        awaitUntil("it is back", () -> showFleet().list("offline").isEmpty());
         lab.cutOff("s2", true, true, true);
-        until(
+        awaitUntil(
                 "the lease of s2 has ended",
-                () -> lab.history().of("log").stream()
-                        .anyMatch(s -> s.who().equals("s2") && s.words().contains("serves on by itself")));
-        assertThat(call(second, "n1/offline")).as("out here, but not agreed on").isEqualTo(503);
+                () -> lab.history().ofKind("log").stream()
+                        .anyMatch(event ->
+                                event.source().equals("s2") && event.text().contains("serves on by itself")));
+        assertThat(callOperatorApi(second, "n1/offline"))
+                .as("out here, but not agreed on")
+                .isEqualTo(503);
         lab.cutOff("s2", true, true, false);
-        until("s2 is heard again", () -> call(second, "n1/offline") == 200);
+        awaitUntil("s2 is heard again", () -> callOperatorApi(second, "n1/offline") == 200);
     }
 }
--- a/src/test/java/plumpost/lab/fleet/FormatsIT.java
+++ b/src/test/java/plumpost/lab/fleet/FormatsIT.java
@@ -4,57 +4,59 @@
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
-/** Programs of two record formats side by side. */
+/** Rolling upgrade: programs that read different record formats in one fleet. */
 @Timeout(240)
-class FormatsIT extends FleetRig {
+class FormatsIT extends FleetTestBase {
 
-    private int format() {
-        return page().whole("format");
+    private int writtenFormat() {
+        return showFleet().whole("format");
     }
 
-    /** Restarts one as a program that reads so new a format, with jobs before and after, each of which runs once. */
-    private void restart(One one, int newest, String mark) throws Exception {
-        double at = lab.history().nowMs();
-        one.signal("TERM");
-        assertThat(one.ended(PATIENCE_MS)).isTrue();
-        one.format(newest);
-        one.start();
-        joined(one, at);
-        eachOnce(plan(6, "order-it", mark, 0));
+    /** Restarts a process as a program with another newest format; jobs submitted after that each run once. */
+    private void restart(SchedulerProcess process, int newestFormat, String keyPrefix) throws Exception {
+        double restartedAtMs = lab.history().nowMs();
+        process.signal("TERM");
+        assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
+        process.setRecordFormat(newestFormat);
+        process.start();
+        awaitJoined(process, restartedAtMs);
+        assertEachRanOnce(submitScheduled(6, "order-it", keyPrefix, 0));
     }
 
-    /** Guards a rolling upgrade: the newer format is written once all read it, and an older program then says so and leaves. */
+    /** Guards a rolling upgrade: a newer format is written only once all read it; an older program then logs that and leaves. */
     @Test
     void aNewerFormatIsWrittenOnceAllReadIt() throws Exception {
-        fleet(3, 0, 3, "");
-        work(1, "order-it");
-        One first = lab.all().get(0);
-        One third = lab.all().get(2);
+        startFleet(3, 0, 3, "");
+        startWorkers(1, "order-it");
+        SchedulerProcess first = lab.processes().get(0);
+        SchedulerProcess third = lab.processes().get(2);
         restart(first, 2, "a");
-        restart(lab.all().get(1), 2, "b");
-        assertThat(format()).as("one does not read it").isEqualTo(1);
-        restart(first, 1, "back"); // and back: nothing was written that the older program does not read
+        restart(lab.processes().get(1), 2, "b");
+        assertThat(writtenFormat()).as("one does not read it").isEqualTo(1);
+        restart(first, 1, "back"); // a downgrade still works: all records written so far are of the older format
         restart(first, 2, "again");
         restart(third, 2, "c");
-        until("the newer one is written", () -> format() == 2);
-        eachOnce(plan(6, "order-it", "d", 0));
+        awaitUntil("the newer one is written", () -> writtenFormat() == 2);
+        assertEachRanOnce(submitScheduled(6, "order-it", "d", 0));
         double at = lab.history().nowMs();
         third.signal("TERM");
-        assertThat(third.ended(PATIENCE_MS)).isTrue();
-        third.format(1);
+        assertThat(third.awaitExit(TIMEOUT_MS)).isTrue();
+        third.setRecordFormat(1);
         third.start();
-        said(third, at, "takes part no longer and serves on by itself");
-        said(third, at, "reads 1 to 1");
-        until("the others go on", () -> Hands.plan(first, lab.history(), "order-it", "on", 1) != null);
-        eachOnce(java.util.List.of("on"));
+        awaitLogLine(third, at, "takes part no longer and serves on by itself");
+        awaitLogLine(third, at, "reads 1 to 1");
+        awaitUntil(
+                "the others go on",
+                () -> LabWorkers.submitScheduled(first, lab.history(), "order-it", "on", 1) != null);
+        assertEachRanOnce(java.util.List.of("on"));
         third.signal("KILL");
-        assertThat(third.ended(PATIENCE_MS)).isTrue();
-        third.format(2);
+        assertThat(third.awaitExit(TIMEOUT_MS)).isTrue();
+        third.setRecordFormat(2);
         at = lab.history().nowMs();
         third.start();
-        joined(third, at);
-        eachOnce(plan(6, "order-it", "e", 0));
+        awaitJoined(third, at);
+        assertEachRanOnce(submitScheduled(6, "order-it", "e", 0));
     }
 }
--- a/src/test/java/plumpost/lab/fleet/KillIT.java
+++ b/src/test/java/plumpost/lab/fleet/KillIT.java
@@ -5,17 +5,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A short kill test: random faults on processes whose orders are covered; the long one is {@code make kill-test}. */
+/** Short version of {@code make kill-test}: random faults on processes with covered orders. */
 @Timeout(420)
-class KillIT extends FleetRig {
-    /** Guards every acknowledged order: it has one final answer and ran once at most, whoever is killed, stopped or cut. */
+class KillIT extends FleetTestBase {
+    /** Guards against a lost or repeated order: each acknowledged one gets a final answer and runs at most once. */
     @Test
     void randomFaultsLoseNoOrderAndRunNoneTwice() throws Exception {
-        peersMore = "\"covers\": [\"pickup-order\"], \"awaitMs\": 3000, ";
-        unstarted(3, 0, 3, "");
-        KillRun.Result r = new KillRun(lab, 1, System.out).run(20, 200);
-        System.out.print(r.table());
-        assertThat(r.broken()).isEmpty();
-        assertThat(r.done()).isGreaterThan(50);
+        extraPeerSettings = "\"covers\": [\"pickup-order\"], \"awaitMs\": 3000, ";
+        createFleet(3, 0, 3, "");
+        OrderFaultRun.Result result = new OrderFaultRun(lab, 1, System.out).run(20, 200);
+        System.out.print(result.table());
+        assertThat(result.violations()).isEmpty();
+        assertThat(result.done()).isGreaterThan(50);
     }
 }
--- a/src/test/java/plumpost/lab/fleet/MembersIT.java
+++ b/src/test/java/plumpost/lab/fleet/MembersIT.java
@@ -6,88 +6,96 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
-/** A fleet that is founded, whose leader is lost with an owner, whose voters are replaced under load. */
+/** Founding of a fleet, loss of its leader together with an owner, and replacement of a voter under load. */
 @Timeout(300)
-class MembersIT extends FleetRig {
+class MembersIT extends FleetTestBase {
 
-    /** Guards the founding: no duty is owned and no job taken while the loss of one voter would stand the fleet still. */
+    /** Guards the founding: no duty is owned and no job accepted while the loss of one voter would halt the fleet. */
     @Test
     void nobodyTakesPartBeforeAllVotersAreIn() throws Exception {
-        unstarted(3, 0, 3, "");
-        for (One o : lab.all()) {
-            o.start();
+        createFleet(3, 0, 3, "");
+        for (SchedulerProcess process : lab.processes()) {
+            process.start();
         }
-        One founder = lab.all().get(0);
-        One second = lab.all().get(1);
-        One third = lab.all().get(2);
-        said(founder, 0, "founding lab");
+        SchedulerProcess founder = lab.processes().get(0);
+        SchedulerProcess second = lab.processes().get(1);
+        SchedulerProcess third = lab.processes().get(2);
+        awaitLogLine(founder, 0, "founding lab");
         third.signal("STOP");
-        said(second, 0, "fleet: member s2.");
+        awaitLogLine(second, 0, "fleet: member s2.");
         Thread.sleep(1500);
-        List<History.Seen> log = lab.history().of("log");
-        if (log.stream().noneMatch(s -> s.words().contains("fleet: member s3."))) {
-            assertThat(log).noneMatch(s -> s.words().contains("takes part"));
-            assertThat(Hands.plan(second, lab.history(), "order-it", "early", 1))
+        List<History.Event> log = lab.history().ofKind("log");
+        if (log.stream().noneMatch(event -> event.text().contains("fleet: member s3."))) {
+            assertThat(log).noneMatch(event -> event.text().contains("takes part"));
+            assertThat(LabWorkers.submitScheduled(second, lab.history(), "order-it", "early", 1))
                     .as("nothing is taken yet")
                     .isNull();
         }
         third.signal("CONT");
-        for (One o : lab.all()) {
-            joined(o, 0);
+        for (SchedulerProcess process : lab.processes()) {
+            awaitJoined(process, 0);
         }
         double killed = lab.history().nowMs();
         founder.signal("KILL");
-        work(1, "order-it");
-        until("the others take jobs", () -> Hands.plan(second, lab.history(), "order-it", "late", 1) != null);
-        eachOnce(List.of("late"));
-        assertThat(founder.ended(PATIENCE_MS)).isTrue();
+        startWorkers(1, "order-it");
+        awaitUntil(
+                "the others take jobs",
+                () -> LabWorkers.submitScheduled(second, lab.history(), "order-it", "late", 1) != null);
+        assertEachRanOnce(List.of("late"));
+        assertThat(founder.awaitExit(TIMEOUT_MS)).isTrue();
         founder.start();
-        joined(founder, killed);
+        awaitJoined(founder, killed);
     }
 
-    /** Guards the loss of two at once: who leads the log and who owns the schedule. */
+    /** Guards against the loss of two processes at once: the leader of the log and the owner of the schedule. */
     @Test
     void theLeaderAndTheOwnerDieTogether() throws Exception {
-        fleet(5, 0, 3, "");
-        work(1, "order-it");
+        startFleet(5, 0, 3, "");
+        startWorkers(1, "order-it");
         for (int round = 0; round < 2; round++) {
-            One owner = ownerBesideTheLeader();
-            One leader = lab.one(page().text("leader"));
-            List<String> keys = plan(30, "order-it", "r" + round + "-", 2500);
+            SchedulerProcess owner = moveScheduleOffLeader();
+            SchedulerProcess leader = lab.process(showFleet().text("leader"));
+            List<String> keys = submitScheduled(30, "order-it", "r" + round + "-", 2500);
             assertThat(keys).isNotEmpty();
             double killed = lab.history().nowMs();
             owner.signal("KILL");
             leader.signal("KILL");
-            until(
+            awaitUntil(
                     "another owns it",
                     () -> !List.of("", owner.name(), leader.name()).contains(owner("schedule")));
-            onceOrGivenUp(keys);
-            for (One o : List.of(owner, leader)) {
-                assertThat(o.ended(PATIENCE_MS)).isTrue();
-                o.start();
+            assertEachRanOnceOrWasGivenUp(keys);
+            for (SchedulerProcess process : List.of(owner, leader)) {
+                assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
+                process.start();
             }
-            joined(owner, killed);
-            joined(leader, killed);
+            awaitJoined(owner, killed);
+            awaitJoined(leader, killed);
         }
     }
 
-    /** Guards a change of members: under load a voter is replaced, and the leader dies in the middle of that. */
+    /** Guards a change of members: a voter is replaced under load, and the leader is killed in the middle of it. */
     @Test
     void aVoterIsReplacedUnderLoadAndTheLeaderDiesMeanwhile() throws Exception {
-        fleet(5, 0, 3, "");
-        work(1, "order-it");
+        startFleet(5, 0, 3, "");
+        startWorkers(1, "order-it");
         List<String> keys = new ArrayList<>();
-        One wiped = lab.all().stream()
-                .filter(o -> !o.name().equals(page().text("leader")))
+        SchedulerProcess wiped = lab.processes().stream()
+                .filter(process -> !process.name().equals(showFleet().text("leader")))
                 .findFirst()
                 .orElseThrow();
         Thread load = new Thread(() -> {
             for (int i = 0; !Thread.interrupted() && i < 2000; i++) {
-                One at = lab.all().get(i % lab.all().size());
-                if (at != wiped
-                        && Hands.plan(at, lab.history(), "order-it", "l" + i, System.currentTimeMillis() / 1000)
+                SchedulerProcess scheduler =
+                        lab.processes().get(i % lab.processes().size());
+                if (scheduler != wiped
+                        && LabWorkers.submitScheduled(
+                                        scheduler,
+                                        lab.history(),
+                                        "order-it",
+                                        "l" + i,
+                                        System.currentTimeMillis() / 1000)
                                 != null) {
                     synchronized (keys) {
                         keys.add("l" + i);
@@ -99,23 +107,23 @@
         double killed = lab.history().nowMs();
         try {
             wiped.signal("KILL");
-            assertThat(wiped.ended(PATIENCE_MS)).isTrue();
-            wiped.wipe();
+            assertThat(wiped.awaitExit(TIMEOUT_MS)).isTrue();
+            wiped.deleteData();
             wiped.start();
-            said(wiped, killed, "joining lab through");
-            One leader = lab.one(page().text("leader"));
+            awaitLogLine(wiped, killed, "joining lab through");
+            SchedulerProcess leader = lab.process(showFleet().text("leader"));
             leader.signal("KILL");
-            said(wiped, killed, "fleet: member " + wiped.name() + ".");
-            joined(wiped, killed);
-            assertThat(leader.ended(PATIENCE_MS)).isTrue();
-            double again = lab.history().nowMs();
+            awaitLogLine(wiped, killed, "fleet: member " + wiped.name() + ".");
+            awaitJoined(wiped, killed);
+            assertThat(leader.awaitExit(TIMEOUT_MS)).isTrue();
+            double restartedAtMs = lab.history().nowMs();
             leader.start();
-            joined(leader, again);
+            awaitJoined(leader, restartedAtMs);
         } finally {
             load.interrupt();
             load.join();
         }
         assertThat(keys).hasSizeGreaterThan(50);
-        onceOrGivenUp(keys);
+        assertEachRanOnceOrWasGivenUp(keys);
     }
 }
--- a/src/test/java/plumpost/lab/fleet/OrdersIT.java
+++ b/src/test/java/plumpost/lab/fleet/OrdersIT.java
@@ -10,230 +10,243 @@
 import org.junit.jupiter.api.Timeout;
 import plumpost.gearman.Packet;
 import plumpost.gearman.Packet.Type;
-import plumpost.lab.fleet.FleetLab.One;
+import plumpost.lab.fleet.FleetLab.SchedulerProcess;
 
-/** Work in hand of real processes that are killed, stopped, cut off and told to end: another takes it over, once. */
+/** Takeover of the open orders of real processes that are killed, stopped, cut off or terminated; none runs twice. */
 @Timeout(300)
-class OrdersIT extends FleetRig {
+class OrdersIT extends FleetTestBase {
     private static final String COVERS = "\"covers\": [\"pickup-order\"], ";
-    private static final int ANSWER_MS = 40_000;
+    private static final int ANSWER_TIMEOUT_MS = 40_000;
 
-    private void covered(String more) throws Exception {
-        peersMore = COVERS + more;
-        fleet(3, 0, 3, "");
+    private void startCoveringFleet(String more) throws Exception {
+        extraPeerSettings = COVERS + more;
+        startFleet(3, 0, 3, "");
     }
 
-    /** Hands orders in, each again under its key until it is acknowledged. */
-    private List<String> leave(One at, int n, String mark) throws Exception {
+    /** Submits background orders, each again under its key until it is acknowledged; returns the keys. */
+    private List<String> submitOrders(SchedulerProcess scheduler, int count, String keyPrefix) throws Exception {
         List<String> keys = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            String key = mark + i;
-            until(key + " is taken", () -> Hands.leave(at, lab.history(), "order-it", key) != null);
+        for (int i = 0; i < count; i++) {
+            String key = keyPrefix + i;
+            awaitUntil(
+                    key + " is taken",
+                    () -> LabWorkers.submitBackground(scheduler, lab.history(), "order-it", key) != null);
             keys.add(key);
         }
         return keys;
     }
 
-    private void hands(One at, int n, int workMs) {
-        hands.add(new Hands(at, lab.history(), n, workMs, "order-it"));
+    private void addWorkers(SchedulerProcess scheduler, int count, int workMs) {
+        workers.add(new LabWorkers(scheduler, lab.history(), count, workMs, "order-it"));
     }
 
-    /** Guards what a killed scheduler held: survivors take it over, each order by one, and share it. */
+    /** Guards the open orders of a killed scheduler: the survivors share them, and each runs once. */
     @Test
     void whatAKilledSchedulerHeldRunsOnceElsewhere() throws Exception {
-        covered("");
-        One first = lab.all().get(0);
-        List<String> keys = leave(first, 60, "o");
+        startCoveringFleet("");
+        SchedulerProcess first = lab.processes().get(0);
+        List<String> keys = submitOrders(first, 60, "o");
         assertThat(keys).hasSize(60);
         double killed = lab.history().nowMs();
         first.signal("KILL");
-        hands(lab.all().get(1), 2, 1);
-        hands(lab.all().get(2), 2, 1);
-        eachOnce(keys);
-        assertThat(lab.history().of("run").stream().map(History.Seen::who).distinct())
+        addWorkers(lab.processes().get(1), 2, 1);
+        addWorkers(lab.processes().get(2), 2, 1);
+        assertEachRanOnce(keys);
+        assertThat(lab.history().ofKind("run").stream()
+                        .map(History.Event::source)
+                        .distinct())
                 .hasSize(2);
-        assertThat(first.ended(PATIENCE_MS)).isTrue();
+        assertThat(first.awaitExit(TIMEOUT_MS)).isTrue();
         first.start();
-        joined(first, killed);
-        hands(first, 1, 1);
-        assertThat(Hands.call(first, lab.history(), "order-it", "o7", ANSWER_MS))
+        awaitJoined(first, killed);
+        addWorkers(first, 1, 1);
+        assertThat(LabWorkers.submitAndWait(first, lab.history(), "order-it", "o7", ANSWER_TIMEOUT_MS))
                 .as("its outcome is known everywhere")
                 .isEqualTo("WORK_COMPLETE");
-        assertThat(keys).allSatisfy(k -> assertThat(runs(k)).as(k).isEqualTo(1));
+        assertThat(keys).allSatisfy(k -> assertThat(runCount(k)).as(k).isEqualTo(1));
     }
 
-    /** Guards one scheduler alone with a disk: what it held when it was killed runs once when it is back. */
+    /** Guards a single scheduler with a disk: the orders open when it was killed run once after its restart. */
     @Test
     void oneAloneOutlivesItsProcess() throws Exception {
-        peersMore = COVERS;
-        fleet(1, 0, 1, "");
-        One one = lab.all().get(0);
-        List<String> keys = leave(one, 20, "d");
+        extraPeerSettings = COVERS;
+        startFleet(1, 0, 1, "");
+        SchedulerProcess scheduler = lab.processes().get(0);
+        List<String> keys = submitOrders(scheduler, 20, "d");
         assertThat(keys).hasSize(20);
-        one.signal("KILL");
-        assertThat(one.ended(PATIENCE_MS)).isTrue();
-        double again = lab.history().nowMs();
-        one.start();
-        joined(one, again);
-        hands(one, 1, 1);
-        eachOnce(keys);
-        assertThat(Hands.call(one, lab.history(), "order-it", "d3", ANSWER_MS)).isEqualTo("WORK_COMPLETE");
-        assertThat(runs("d3")).isEqualTo(1);
+        scheduler.signal("KILL");
+        assertThat(scheduler.awaitExit(TIMEOUT_MS)).isTrue();
+        double restartedAtMs = lab.history().nowMs();
+        scheduler.start();
+        awaitJoined(scheduler, restartedAtMs);
+        addWorkers(scheduler, 1, 1);
+        assertEachRanOnce(keys);
+        assertThat(LabWorkers.submitAndWait(scheduler, lab.history(), "order-it", "d3", ANSWER_TIMEOUT_MS))
+                .isEqualTo("WORK_COMPLETE");
+        assertThat(runCount("d3")).isEqualTo(1);
     }
 
-    /** Guards an order that a worker had when its scheduler was killed: it never runs again, and is answered once. */
+    /** Guards an order that a worker had when its scheduler was killed: it never runs again and is answered as failed. */
     @Test
     void whatWasOutIsNotRunAgainAndIsGivenUp() throws Exception {
-        covered("\"awaitMs\": 2000, ");
-        One first = lab.all().get(0);
-        One second = lab.all().get(1);
-        hands(first, 1, 30_000);
-        assertThat(leave(first, 1, "out")).hasSize(1);
-        until("it runs", () -> runs("out0") == 1);
+        startCoveringFleet("\"awaitMs\": 2000, ");
+        SchedulerProcess first = lab.processes().get(0);
+        SchedulerProcess second = lab.processes().get(1);
+        addWorkers(first, 1, 30_000);
+        assertThat(submitOrders(first, 1, "out")).hasSize(1);
+        awaitUntil("it runs", () -> runCount("out0") == 1);
         first.signal("KILL");
-        hands(second, 2, 1);
-        assertThat(Hands.call(second, lab.history(), "order-it", "out0", ANSWER_MS))
+        addWorkers(second, 2, 1);
+        assertThat(LabWorkers.submitAndWait(second, lab.history(), "order-it", "out0", ANSWER_TIMEOUT_MS))
                 .isEqualTo("WORK_FAIL");
-        assertThat(Hands.call(lab.all().get(2), lab.history(), "order-it", "out0", ANSWER_MS))
+        assertThat(LabWorkers.submitAndWait(
+                        lab.processes().get(2), lab.history(), "order-it", "out0", ANSWER_TIMEOUT_MS))
                 .isEqualTo("WORK_FAIL");
-        assertThat(runs("out0")).isEqualTo(1);
-        until(
+        assertThat(runCount("out0")).isEqualTo(1);
+        awaitUntil(
                 "new ones run",
-                () -> "WORK_COMPLETE".equals(Hands.call(second, lab.history(), "order-it", "new", ANSWER_MS)));
+                () -> "WORK_COMPLETE"
+                        .equals(LabWorkers.submitAndWait(second, lab.history(), "order-it", "new", ANSWER_TIMEOUT_MS)));
     }
 
-    /** Guards a worker that reports at another scheduler: who waits there is answered with its result. */
+    /** Guards a worker that reports to another scheduler: the client that waits there gets its result. */
     @Test
     void aWorkerThatReportsElsewhereIsHeard() throws Exception {
-        covered("");
-        One first = lab.all().get(0);
-        One second = lab.all().get(1);
-        try (Peer worker = new Peer(first.gearman(), 20_000)) {
+        startCoveringFleet("");
+        SchedulerProcess first = lab.processes().get(0);
+        SchedulerProcess second = lab.processes().get(1);
+        try (GearmanConnection worker = new GearmanConnection(first.gearmanPort(), 20_000)) {
             worker.send(Type.CAN_DO, "order-it");
-            CompletableFuture<String> answer =
-                    CompletableFuture.supplyAsync(() -> Hands.leave(first, lab.history(), "order-it", "far"));
-            Packet got;
+            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+                    () -> LabWorkers.submitBackground(first, lab.history(), "order-it", "far"));
+            Packet packet;
             do {
                 worker.send(Type.GRAB_JOB);
-                got = worker.next();
-                if (got.type() == Type.NO_JOB) {
+                packet = worker.next();
+                if (packet.type() == Type.NO_JOB) {
                     worker.send(Type.PRE_SLEEP);
-                    got = worker.next();
+                    packet = worker.next();
                 }
-            } while (got.type() != Type.JOB_ASSIGN);
-            assertThat(answer.get(10, TimeUnit.SECONDS)).isEqualTo(got.text(0));
+            } while (packet.type() != Type.JOB_ASSIGN);
+            assertThat(answer.get(10, TimeUnit.SECONDS)).isEqualTo(packet.text(0));
             first.signal("KILL");
-            CompletableFuture<String> waits = CompletableFuture.supplyAsync(
-                    () -> Hands.call(second, lab.history(), "order-it", "far", ANSWER_MS));
-            try (Peer again = new Peer(second.gearman(), 20_000)) {
-                again.send(Type.WORK_COMPLETE, got.text(0), "done far away");
-                assertThat(waits.get(60, TimeUnit.SECONDS)).isEqualTo("WORK_COMPLETE");
+            CompletableFuture<String> result = CompletableFuture.supplyAsync(
+                    () -> LabWorkers.submitAndWait(second, lab.history(), "order-it", "far", ANSWER_TIMEOUT_MS));
+            try (GearmanConnection reconnected = new GearmanConnection(second.gearmanPort(), 20_000)) {
+                reconnected.send(Type.WORK_COMPLETE, packet.text(0), "done far away");
+                assertThat(result.get(60, TimeUnit.SECONDS)).isEqualTo("WORK_COMPLETE");
             }
         }
-        assertThat(Hands.call(lab.all().get(2), lab.history(), "order-it", "far", ANSWER_MS))
+        assertThat(LabWorkers.submitAndWait(
+                        lab.processes().get(2), lab.history(), "order-it", "far", ANSWER_TIMEOUT_MS))
                 .isEqualTo("WORK_COMPLETE");
     }
 
-    /** Guards two clients with one key at two schedulers at once: one order, which runs where a worker is, answers both. */
+    /** Guards against two orders for one key: two clients at two schedulers get the answer of one run at a third. */
     @Test
     void oneKeyAtTwoSchedulersIsOneOrder() throws Exception {
-        covered("");
-        hands(lab.all().get(2), 2, 50);
+        startCoveringFleet("");
+        addWorkers(lab.processes().get(2), 2, 50);
         for (int i = 0; i < 5; i++) {
             String key = "same" + i;
-            CompletableFuture<String> one = CompletableFuture.supplyAsync(
-                    () -> Hands.call(lab.all().get(0), lab.history(), "order-it", key, ANSWER_MS));
-            assertThat(Hands.call(lab.all().get(1), lab.history(), "order-it", key, ANSWER_MS))
+            CompletableFuture<String> one = CompletableFuture.supplyAsync(() -> LabWorkers.submitAndWait(
+                    lab.processes().get(0), lab.history(), "order-it", key, ANSWER_TIMEOUT_MS));
+            assertThat(LabWorkers.submitAndWait(
+                            lab.processes().get(1), lab.history(), "order-it", key, ANSWER_TIMEOUT_MS))
                     .isEqualTo("WORK_COMPLETE");
             assertThat(one.get(60, TimeUnit.SECONDS)).isEqualTo("WORK_COMPLETE");
-            assertThat(runs(key)).isEqualTo(1);
+            assertThat(runCount(key)).isEqualTo(1);
         }
     }
 
-    /** Guards the cut: without the majority nothing covered is taken or handed out, and it says so at once. */
+    /** Guards against work without a majority: a scheduler cut off neither accepts nor hands out covered orders. */
     @Test
     void withoutTheMajorityNothingCoveredIsTakenOrHandedOut() throws Exception {
-        covered("");
-        One cut = lab.all().get(0);
-        One other = lab.all().get(1);
-        List<String> keys = leave(cut, 10, "c");
-        double at = lab.history().nowMs();
+        startCoveringFleet("");
+        SchedulerProcess cut = lab.processes().get(0);
+        SchedulerProcess other = lab.processes().get(1);
+        List<String> keys = submitOrders(cut, 10, "c");
+        double cutAtMs = lab.history().nowMs();
         lab.cutOff(cut.name(), true, true, true);
-        said(cut, at, "does no fleet duty and serves on by itself");
-        hands(cut, 2, 1);
-        assertThat(Hands.leave(cut, lab.history(), "order-it", "refused")).isNull();
-        hands(other, 2, 1);
-        eachOnce(keys);
-        assertThat(lab.history().of("run")).allMatch(s -> s.who().equals(other.name()));
+        awaitLogLine(cut, cutAtMs, "does no fleet duty and serves on by itself");
+        addWorkers(cut, 2, 1);
+        assertThat(LabWorkers.submitBackground(cut, lab.history(), "order-it", "refused"))
+                .isNull();
+        addWorkers(other, 2, 1);
+        assertEachRanOnce(keys);
+        assertThat(lab.history().ofKind("run")).allMatch(event -> event.source().equals(other.name()));
         double healed = lab.history().nowMs();
         lab.cutOff(cut.name(), true, true, false);
-        joined(cut, healed);
-        until("it takes orders again", () -> Hands.leave(cut, lab.history(), "order-it", "after") != null);
-        eachOnce(List.of("after"));
-        assertThat(keys).allSatisfy(k -> assertThat(runs(k)).as(k).isEqualTo(1));
+        awaitJoined(cut, healed);
+        awaitUntil(
+                "it takes orders again",
+                () -> LabWorkers.submitBackground(cut, lab.history(), "order-it", "after") != null);
+        assertEachRanOnce(List.of("after"));
+        assertThat(keys).allSatisfy(k -> assertThat(runCount(k)).as(k).isEqualTo(1));
     }
 
-    /** Guards SIGTERM: what is not handed out is another's at once, what is out is finished, and nothing runs twice. */
+    /** Guards SIGTERM: waiting orders move to another scheduler at once, running ones finish, and none runs twice. */
     @Test
     void aRollingRestartLosesNothingAndRunsNothingTwice() throws Exception {
-        covered("");
+        startCoveringFleet("");
         List<String> keys = new ArrayList<>();
-        for (One o : lab.all()) {
-            keys.addAll(leave(o, 10, "t-" + o.name() + "-"));
+        for (SchedulerProcess process : lab.processes()) {
+            keys.addAll(submitOrders(process, 10, "t-" + process.name() + "-"));
         }
-        hands(lab.all().get(0), 1, 100);
-        hands(lab.all().get(1), 1, 100);
-        for (One o : lab.all()) {
-            double at = lab.history().nowMs();
-            o.signal("TERM");
-            assertThat(o.ended(PATIENCE_MS)).isTrue();
-            o.start();
-            joined(o, at);
-            keys.addAll(leave(o, 3, "n-" + o.name() + "-"));
+        addWorkers(lab.processes().get(0), 1, 100);
+        addWorkers(lab.processes().get(1), 1, 100);
+        for (SchedulerProcess process : lab.processes()) {
+            double signalledAtMs = lab.history().nowMs();
+            process.signal("TERM");
+            assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
+            process.start();
+            awaitJoined(process, signalledAtMs);
+            keys.addAll(submitOrders(process, 3, "n-" + process.name() + "-"));
         }
         assertThat(keys).hasSize(39);
-        eachOnce(keys);
+        assertEachRanOnce(keys);
     }
 
-    /** Guards every boundary of an order's life: its holder is killed, or stopped and woken, just there. */
+    /** Guards every boundary in an order's life cycle: its holder is killed, or stopped and continued, exactly there. */
     @Test
     void whoeverEndsAtABoundaryLeavesTheOrderOnce() throws Exception {
-        covered("\"awaitMs\": 1000, ");
-        One other = lab.all().get(1);
+        startCoveringFleet("\"awaitMs\": 1000, ");
+        SchedulerProcess other = lab.processes().get(1);
         int round = 0;
-        for (String place : List.of("before Take", "after Take", "before Told", "after Told")) {
+        for (String boundary : List.of("before Take", "after Take", "before Told", "after Told")) {
             for (String fault : List.of("KILL", "STOP")) {
-                One victim = lab.all().get(0);
+                SchedulerProcess victim = lab.processes().get(0);
                 String key = "b" + round++;
-                Hands mine = new Hands(victim, lab.history(), 1, 1, "order-it");
-                hands.add(mine);
-                double at = lab.history().nowMs();
-                victim.halt(place, true);
-                CompletableFuture<String> left =
-                        CompletableFuture.supplyAsync(() -> Hands.leave(victim, lab.history(), "order-it", key));
-                said(victim, at, "halts " + place);
+                LabWorkers victimWorkers = new LabWorkers(victim, lab.history(), 1, 1, "order-it");
+                workers.add(victimWorkers);
+                double startedAtMs = lab.history().nowMs();
+                victim.setHalt(boundary, true);
+                CompletableFuture<String> submission = CompletableFuture.supplyAsync(
+                        () -> LabWorkers.submitBackground(victim, lab.history(), "order-it", key));
+                awaitLogLine(victim, startedAtMs, "halts " + boundary);
                 victim.signal(fault);
-                said(other, at, victim.name() + ", incarnation ");
-                victim.halt(place, false);
-                Hands theirs = new Hands(other, lab.history(), 1, 1, "order-it");
-                hands.add(theirs);
+                awaitLogLine(other, startedAtMs, victim.name() + ", incarnation ");
+                victim.setHalt(boundary, false);
+                LabWorkers otherWorkers = new LabWorkers(other, lab.history(), 1, 1, "order-it");
+                workers.add(otherWorkers);
                 double woken = lab.history().nowMs();
                 if (fault.equals("KILL")) {
-                    assertThat(victim.ended(PATIENCE_MS)).isTrue();
+                    assertThat(victim.awaitExit(TIMEOUT_MS)).isTrue();
                     victim.start();
                 } else {
                     victim.signal("CONT");
                 }
-                joined(victim, woken);
-                left.get(60, TimeUnit.SECONDS);
-                String answer = Hands.call(other, lab.history(), "order-it", key, ANSWER_MS);
-                assertThat(answer).as(place + ", " + fault).isIn("WORK_COMPLETE", "WORK_FAIL");
-                assertThat(runs(key)).as(place + ", " + fault).isLessThanOrEqualTo(1);
-                assertThat(Hands.call(lab.all().get(2), lab.history(), "order-it", key, ANSWER_MS))
+                awaitJoined(victim, woken);
+                submission.get(60, TimeUnit.SECONDS);
+                String answer = LabWorkers.submitAndWait(other, lab.history(), "order-it", key, ANSWER_TIMEOUT_MS);
+                assertThat(answer).as(boundary + ", " + fault).isIn("WORK_COMPLETE", "WORK_FAIL");
+                assertThat(runCount(key)).as(boundary + ", " + fault).isLessThanOrEqualTo(1);
+                assertThat(LabWorkers.submitAndWait(
+                                lab.processes().get(2), lab.history(), "order-it", key, ANSWER_TIMEOUT_MS))
                         .as("one final answer")
                         .isEqualTo(answer);
-                mine.close();
-                theirs.close();
+                victimWorkers.close();
+                otherWorkers.close();
             }
         }
     }
