--- a/src/main/java/plumpost/lab/fleet/FaultNet.java
+++ b/src/main/java/plumpost/lab/fleet/FaultNet.java
@@ -23,7 +23,7 @@
  * No new connection is established while either direction is cut.
  */
 public final class FaultNet implements Closeable {
-    private static final int MAX_HELD_BYTES = 1 << 20;
+    private static final int MAX_QUEUED_BYTES = 1 << 20;
 
     /** Faults of one direction of a link. */
     private static final class Direction {
@@ -81,9 +81,9 @@
         direction(from, to).delayMs = ms;
     }
 
-    /** Limits one direction to {@code bytesAS} bytes per second and connection. */
-    public void limitRate(String from, String to, double bytesAS) {
-        direction(from, to).bytesPerMs = bytesAS / 1000;
+    /** Limits one direction to {@code bytesPerS} bytes per second and connection. */
+    public void limitRate(String from, String to, double bytesPerS) {
+        direction(from, to).bytesPerMs = bytesPerS / 1000;
     }
 
     /** Resets all connections that {@code from} has opened to {@code to}. */
@@ -116,8 +116,8 @@
         private final Pipe backward;
         private boolean closed;
 
-        Connection(SocketChannel near, String from, String to, int target) {
-            this.inbound = near;
+        Connection(SocketChannel inbound, String from, String to, int target) {
+            this.inbound = inbound;
             this.link = from + '>' + to;
             this.target = target;
             forward = new Pipe(direction(from, to));
@@ -182,12 +182,12 @@
         private boolean outputShut;
         private double busyUntilMs;
 
-        Pipe(Direction way) {
-            this.direction = way;
+        Pipe(Direction direction) {
+            this.direction = direction;
         }
 
         void transfer(SocketChannel from, SocketChannel to) throws IOException {
-            while (!inputEnded && queuedBytes < MAX_HELD_BYTES) {
+            while (!inputEnded && queuedBytes < MAX_QUEUED_BYTES) {
                 ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
                 int count = from.read(buffer);
                 if (count < 0) {
@@ -228,19 +228,19 @@
                         }
                     }
                     selector.selectedKeys().clear();
-                    List<String> broken;
+                    List<String> linksToReset;
                     synchronized (resets) {
-                        broken = List.copyOf(resets);
+                        linksToReset = List.copyOf(resets);
                         resets.clear();
                     }
-                    for (Connection channel : connections) {
-                        if (broken.contains(channel.link)) {
-                            channel.reset();
+                    for (Connection connection : connections) {
+                        if (linksToReset.contains(connection.link)) {
+                            connection.reset();
                         } else {
-                            channel.transfer();
+                            connection.transfer();
                         }
                     }
-                    connections.removeIf(channel -> channel.closed);
+                    connections.removeIf(connection -> connection.closed);
                 }
                 if (!connections.isEmpty()) {
                     Thread.sleep(1); // a cut connection stays readable and would make this loop spin
--- a/src/main/java/plumpost/lab/fleet/FleetCheck.java
+++ b/src/main/java/plumpost/lab/fleet/FleetCheck.java
@@ -34,9 +34,9 @@
     }
 
     /** Maps the key of each job to the value that events of a kind give for it. */
-    private static Map<String, String> valuesByKey(History history, String what) {
+    private static Map<String, String> valuesByKey(History history, String kind) {
         Map<String, String> all = new HashMap<>();
-        history.ofKind(what)
+        history.ofKind(kind)
                 .forEach(event ->
                         all.put(event.text().split(" ")[0], event.text().split(" ")[1]));
         return all;
@@ -65,10 +65,10 @@
                 violations.add("fence " + fence + " is " + owner);
             }
         });
-        Map<String, Long> last = new HashMap<>();
+        Map<String, Long> lastFences = new HashMap<>();
         for (History.Event event : history.events()) {
             if (event.kind().equals("start")) {
-                last.keySet().removeIf(k -> k.startsWith(event.source() + " "));
+                lastFences.keySet().removeIf(k -> k.startsWith(event.source() + " "));
             }
             Matcher matcher = OWNED.matcher(event.text());
             Matcher unowned = UNOWNED.matcher(event.text());
@@ -76,7 +76,7 @@
             if (owned || event.kind().equals("log") && unowned.find()) {
                 long fence = Long.parseLong(owned ? matcher.group(2) : unowned.group(2));
                 String dutyAtProcess = event.source() + " " + (owned ? matcher.group(1) : unowned.group(1));
-                Long before = last.put(dutyAtProcess, fence);
+                Long before = lastFences.put(dutyAtProcess, fence);
                 if (before != null && (owned ? fence <= before : fence < before)) {
                     violations.add("at " + dutyAtProcess + " fence " + fence + " follows " + before);
                 }
--- a/src/main/java/plumpost/lab/fleet/FleetLab.java
+++ b/src/main/java/plumpost/lab/fleet/FleetLab.java
@@ -163,12 +163,12 @@
             process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
             history.add(name, "start", Long.toString(process.pid()));
             BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
-            Process mine = process;
+            Process started = process;
             Thread reader = new Thread(
                     () -> {
                         log.lines().forEach(l -> history.add(name, "log", l));
                         try {
-                            history.add(name, "end", Integer.toString(mine.waitFor()));
+                            history.add(name, "end", Integer.toString(started.waitFor()));
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
--- a/src/main/java/plumpost/lab/fleet/FleetRun.java
+++ b/src/main/java/plumpost/lab/fleet/FleetRun.java
@@ -106,10 +106,10 @@
         player = new FleetPlayer(lab);
     }
 
-    /** Runs until {@code wanted} changes of owner were observed or {@code maxDurationS} is over. */
-    public Result run(int wanted, double maxDurationS) throws IOException, InterruptedException {
+    /** Runs until {@code changeCount} changes of owner were observed or {@code maxDurationS} is over. */
+    public Result run(int changeCount, double maxDurationS) throws IOException, InterruptedException {
         startFleet();
-        while (changes.size() < wanted && lab.history().nowMs() < maxDurationS * 1000) {
+        while (changes.size() < changeCount && lab.history().nowMs() < maxDurationS * 1000) {
             Kind kind = Kind.values()[random.nextInt(Kind.OTHER.ordinal())];
             runRound(kind);
             if (changes.size() % 10 == 0) {
--- a/src/main/java/plumpost/lab/fleet/IdleCostRun.java
+++ b/src/main/java/plumpost/lab/fleet/IdleCostRun.java
@@ -42,8 +42,8 @@
                             .await(
                                     0,
                                     JOIN_TIMEOUT_MS,
-                                    s -> s.source().equals(process.name())
-                                            && s.text().contains("fleet: member "))
+                                    event -> event.source().equals(process.name())
+                                            && event.text().contains("fleet: member "))
                     == null) {
                 out.println(process.name() + " is not a member after " + JOIN_TIMEOUT_MS / 1000 + " s");
             }
@@ -79,7 +79,7 @@
                     (later.syncs - earlier.syncs) / (double) seconds);
         }
         lab.history().ofKind("log").stream()
-                .filter(s -> s.text().contains("is lost"))
+                .filter(event -> event.text().contains("is lost"))
                 .map(History.Event::text)
                 .distinct()
                 .forEach(out::println);
--- a/src/main/java/plumpost/lab/fleet/OrderFaultRun.java
+++ b/src/main/java/plumpost/lab/fleet/OrderFaultRun.java
@@ -80,8 +80,8 @@
         player = new FleetPlayer(lab);
     }
 
-    /** Injects {@code wanted} faults, or as many as {@code maxDurationS} allows; then waits for every answer. */
-    public Result run(int wanted, double maxDurationS) throws IOException, InterruptedException {
+    /** Injects {@code faultCount} faults, or as many as {@code maxDurationS} allows; then waits for every answer. */
+    public Result run(int faultCount, double maxDurationS) throws IOException, InterruptedException {
         List<LabWorkers> workers = new ArrayList<>();
         for (SchedulerProcess process : lab.processes()) {
             process.start();
@@ -105,7 +105,7 @@
             clients.add(thread);
             thread.start();
         }
-        for (int n = 0; n < wanted && lab.history().nowMs() < maxDurationS * 1000; n++) {
+        for (int n = 0; n < faultCount && lab.history().nowMs() < maxDurationS * 1000; n++) {
             String fault = drawFault(
                     lab.processes().get(random.nextInt(lab.processes().size())).name());
             schedule.append(fault);
@@ -219,7 +219,7 @@
 
     private synchronized Result checkHistory() {
         Map<String, Integer> runs = new HashMap<>();
-        lab.history().ofKind("run").forEach(s -> runs.merge(s.text(), 1, Integer::sum));
+        lab.history().ofKind("run").forEach(event -> runs.merge(event.text(), 1, Integer::sum));
         runs.forEach((key, n) -> {
             if (n > 1) {
                 violations.add("the order " + key + " ran " + n + " times");
@@ -231,11 +231,11 @@
         Map<String, Set<String>> handles = new HashMap<>();
         lab.history()
                 .ofKind("taken")
-                .forEach(s -> handles.computeIfAbsent(orderKey(s), k -> new TreeSet<>())
-                        .add(s.text()));
+                .forEach(event -> handles.computeIfAbsent(orderKey(event), k -> new TreeSet<>())
+                        .add(event.text()));
         lab.history().ofKind("joined").stream()
-                .filter(s -> handles.containsKey(orderKey(s)))
-                .forEach(s -> handles.get(orderKey(s)).add(s.text()));
+                .filter(event -> handles.containsKey(orderKey(event)))
+                .forEach(event -> handles.get(orderKey(event)).add(event.text()));
         handles.forEach((key, all) -> {
             if (all.size() > 1) {
                 violations.add("the order " + key + " was acknowledged and then forgotten: " + all);
--- a/src/main/java/plumpost/lab/script/Player.java
+++ b/src/main/java/plumpost/lab/script/Player.java
@@ -152,10 +152,10 @@
     }
 
     private void expectText(Script.Step step) {
-        Pattern wanted = pattern(step, unquote(step.words()));
+        Pattern pattern = pattern(step, unquote(step.words()));
         do {
             String got = new String(unread.getOrDefault(step.who(), new byte[0]), StandardCharsets.ISO_8859_1);
-            if (wanted.matcher(got).matches()) {
+            if (pattern.matcher(got).matches()) {
                 unread.remove(step.who());
                 return;
             }
--- a/src/main/java/plumpost/lab/script/Script.java
+++ b/src/main/java/plumpost/lab/script/Script.java
@@ -75,39 +75,39 @@
                 : context.EACH().getSymbol().getTokenIndex();
         List<String> covers = new ArrayList<>();
         List<String> values = new ArrayList<>();
-        for (ScriptParser.TopicContext t : context.topic()) {
-            (t.getStart().getTokenIndex() < each ? covers : values)
+        for (ScriptParser.TopicContext topic : context.topic()) {
+            (topic.getStart().getTokenIndex() < each ? covers : values)
                     .add(
-                            t.NAME() != null
-                                    ? t.NAME().getText()
-                                    : string(t.STRING().getText()));
+                            topic.NAME() != null
+                                    ? topic.NAME().getText()
+                                    : string(topic.STRING().getText()));
         }
-        String on = "usual";
+        String setup = "usual";
         String variable = null;
         for (var name : context.NAME()) {
             if (name.getSymbol().getTokenIndex() < each) {
-                on = name.getText();
+                setup = name.getText();
             } else {
                 variable = name.getText();
             }
         }
         if (variable == null) {
-            cases.add(new Case(title, List.copyOf(covers), on, List.copyOf(steps)));
+            cases.add(new Case(title, List.copyOf(covers), setup, List.copyOf(steps)));
             return;
         }
         for (String value : values) {
-            String mark = "$" + variable;
+            String placeholder = "$" + variable;
             cases.add(new Case(
                     title + ": " + value,
-                    covers.stream().map(c -> c.replace(mark, value)).toList(),
-                    on,
+                    covers.stream().map(c -> c.replace(placeholder, value)).toList(),
+                    setup,
                     steps.stream()
-                            .map(s -> new Step(s.who, s.verb, s.words.replace(mark, value), s.place))
+                            .map(s -> new Step(s.who, s.verb, s.words.replace(placeholder, value), s.place))
                             .toList()));
         }
     }
 
-    private static void line(String where, ScriptParser.LineContext line, List<Step> into) {
+    private static void line(String where, ScriptParser.LineContext line, List<Step> steps) {
         ScriptParser.StepContext step = line.step();
         if (step == null) {
             return;
@@ -115,27 +115,27 @@
         Token start = step.getStart();
         String location = where + " line " + start.getLine() + " column " + (start.getCharPositionInLine() + 1);
         if (step instanceof ScriptParser.SayContext context) {
-            into.add(new Step(
+            steps.add(new Step(
                     context.NAME().getText(),
                     Verb.SEND,
                     context.TEXT().getText().stripTrailing(),
                     location));
         } else if (step instanceof ScriptParser.HearContext context) {
-            into.add(new Step(
+            steps.add(new Step(
                     context.NAME().getText(),
                     Verb.EXPECT,
                     context.TEXT().getText().stripTrailing(),
                     location));
         } else if (step instanceof ScriptParser.HangUpContext context) {
-            into.add(new Step(context.NAME().getText(), Verb.CLOSE, "", location));
+            steps.add(new Step(context.NAME().getText(), Verb.CLOSE, "", location));
         } else if (step instanceof ScriptParser.HoldContext context) {
-            into.add(new Step(
+            steps.add(new Step(
                     context.NAME().getText(),
                     Verb.HOLD,
                     context.NUMBER() == null ? "" : context.NUMBER().getText(),
                     location));
         } else if (step instanceof ScriptParser.PassContext context) {
-            into.add(new Step(null, Verb.PASS, context.NUMBER().getText(), location));
+            steps.add(new Step(null, Verb.PASS, context.NUMBER().getText(), location));
         } else if (step instanceof ScriptParser.AgainContext context) {
             if (!context.NUMBER().getText().matches("[0-9]{1,6}")) {
                 throw new BadScript(
@@ -145,7 +145,7 @@
                         "repeat " + context.NUMBER().getText() + ", not a whole number up to 999999");
             }
             for (int n = Integer.parseInt(context.NUMBER().getText()); n > 0; n--) {
-                context.line().forEach(l -> line(where, l, into));
+                context.line().forEach(l -> line(where, l, steps));
             }
         }
     }
--- a/src/test/java/plumpost/lab/fleet/BoundariesIT.java
+++ b/src/test/java/plumpost/lab/fleet/BoundariesIT.java
@@ -80,15 +80,15 @@
         LabWorkers second = new LabWorkers(other, lab.history(), 1, 1, function);
         workers.add(second);
         victim.setHalt(boundary.name, false);
-        double woken = lab.history().nowMs();
+        double continuedAtMs = lab.history().nowMs();
         if (fault.equals("KILL")) {
             assertThat(victim.awaitExit(TIMEOUT_MS)).isTrue();
             victim.start();
         } else {
             victim.signal("CONT");
-            awaitLogLine(victim, woken, "is over: ");
+            awaitLogLine(victim, continuedAtMs, "is over: ");
         }
-        awaitJoined(victim, woken);
+        awaitJoined(victim, continuedAtMs);
         if (order) {
             assertEachRanOnceOrWasGivenUp(List.of(key));
             Fields status = showFleet();
--- a/src/test/java/plumpost/lab/fleet/DisksIT.java
+++ b/src/test/java/plumpost/lab/fleet/DisksIT.java
@@ -31,11 +31,11 @@
         awaitUntil(
                 "nothing new goes to it",
                 () -> FleetLab.memberState(showFleet(), owner.name()).equals("suspect"));
-        double at = lab.history().nowMs();
+        double suspectAtMs = lab.history().nowMs();
         List<String> more = submitScheduledAt(12, "order-it", "more", 1);
         assertEachRanOnce(more);
         assertThat(lab.history().events())
-                .noneMatch(event -> event.atMs() > at
+                .noneMatch(event -> event.atMs() > suspectAtMs
                         && event.source().equals(owner.name())
                         && event.kind().equals("run")
                         && more.contains(event.text()));
@@ -90,18 +90,18 @@
         torn.start();
         awaitJoined(torn, restartedAtMs);
         assertEachRanOnce(keys);
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         torn.signal("KILL");
         assertThat(torn.awaitExit(TIMEOUT_MS)).isTrue();
         try (RandomAccessFile file = new RandomAccessFile(latestLogFile(torn).toFile(), "rw")) {
-            long at = endOfContent(file) / 2;
-            file.seek(at);
-            int b = file.read();
-            file.seek(at);
-            file.write(b ^ 0x55);
+            long offset = endOfContent(file) / 2;
+            file.seek(offset);
+            int value = file.read();
+            file.seek(offset);
+            file.write(value ^ 0x55);
         }
         torn.start();
-        awaitLogLine(torn, killed, "takes part no longer and serves on by itself");
+        awaitLogLine(torn, killedAtMs, "takes part no longer and serves on by itself");
         awaitUntil(
                 "the others go on",
                 () -> LabWorkers.submitScheduled(
@@ -137,10 +137,10 @@
 
     /** Returns the end of the written records; the zeros behind them are space preallocated by the engine. */
     private static long endOfContent(RandomAccessFile file) throws IOException {
-        long at = file.length();
+        long offset = file.length();
         do {
-            file.seek(--at);
-        } while (at > 0 && file.read() == 0);
-        return at + 1;
+            file.seek(--offset);
+        } while (offset > 0 && file.read() == 0);
+        return offset + 1;
     }
 }
--- a/src/test/java/plumpost/lab/fleet/FleetFaultsIT.java
+++ b/src/test/java/plumpost/lab/fleet/FleetFaultsIT.java
@@ -40,16 +40,16 @@
                                                 && event.text().contains("schedule under fence")
                                                 && event.text().contains(process.name() + "'s, incarnation")
                                                 && event.text().contains("was " + owner.name() + "'s"))));
-        double healed = lab.history().nowMs();
+        double healedAtMs = lab.history().nowMs();
         lab.cutOff(owner.name(), true, false, false);
         awaitLogLine(
                 lab.processes().stream()
                         .filter(process -> process != owner)
                         .findFirst()
                         .orElseThrow(),
-                healed,
+                healedAtMs,
                 "refused Fire: fence " + before + " of schedule is old");
-        awaitJoined(owner, healed);
+        awaitJoined(owner, healedAtMs);
         assertThat(fence()).isGreaterThan(before);
         assertEachRanOnceOrWasGivenUp(keys);
     }
@@ -60,9 +60,9 @@
         startFleet(3, 0, 3, "");
         startWorkers(1, "order-it");
         SchedulerProcess owner = moveScheduleOffLeader();
-        double cut = lab.history().nowMs();
+        double cutAtMs = lab.history().nowMs();
         lab.cutOff(owner.name(), false, true, true);
-        awaitLogLine(owner, cut, "does no fleet duty and serves on by itself");
+        awaitLogLine(owner, cutAtMs, "does no fleet duty and serves on by itself");
         SchedulerProcess other = lab.processes().stream()
                 .filter(process -> process != owner)
                 .findFirst()
@@ -78,9 +78,9 @@
                 "the others take it",
                 () -> LabWorkers.submitScheduled(other, lab.history(), "order-it", "other", 1) != null);
         assertEachRanOnce(List.of("other"));
-        double healed = lab.history().nowMs();
+        double healedAtMs = lab.history().nowMs();
         lab.cutOff(owner.name(), false, true, false);
-        awaitJoined(owner, healed);
+        awaitJoined(owner, healedAtMs);
     }
 
     /** Guards against a voter with a deleted disk and a majority that is lost and returns: no agreed record is lost. */
@@ -90,31 +90,31 @@
         List<String> keys = submitScheduled(12, "order-it", "o", 1000);
         assertThat(keys).hasSize(12);
         SchedulerProcess wiped = lab.process("s2");
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         wiped.signal("KILL");
         assertThat(wiped.awaitExit(TIMEOUT_MS)).isTrue();
         wiped.deleteData();
         wiped.start();
-        awaitLogLine(wiped, killed, "joining lab through");
-        awaitLogLine(wiped, killed, "fleet: member s2.");
-        awaitLogLine(wiped, killed, "takes part");
-        killed = lab.history().nowMs();
+        awaitLogLine(wiped, killedAtMs, "joining lab through");
+        awaitLogLine(wiped, killedAtMs, "fleet: member s2.");
+        awaitLogLine(wiped, killedAtMs, "takes part");
+        killedAtMs = lab.history().nowMs();
         for (String name : List.of("s1", "s3")) {
             lab.process(name).signal("KILL");
             assertThat(lab.process(name).awaitExit(TIMEOUT_MS)).isTrue();
         }
-        awaitLogLine(wiped, killed, "does no fleet duty and serves on by itself");
+        awaitLogLine(wiped, killedAtMs, "does no fleet duty and serves on by itself");
         assertThat(LabWorkers.submitScheduled(wiped, lab.history(), "order-it", "alone", 1))
-                .as("no majority, no word")
+                .as("nothing is accepted without a majority")
                 .isNull();
         lab.process("s3").start();
-        awaitJoined(lab.process("s3"), killed);
+        awaitJoined(lab.process("s3"), killedAtMs);
         startWorkers(1, "order-it");
         assertEachRanOnce(keys);
         lab.process("s1").start();
-        awaitJoined(lab.process("s1"), killed);
+        awaitJoined(lab.process("s1"), killedAtMs);
         lab.runCommand(lab.process("s3"), "remove", "s1");
-        awaitLogLine(lab.process("s1"), killed, "takes part no longer");
+        awaitLogLine(lab.process("s1"), killedAtMs, "takes part no longer");
         assertThat(FleetLab.memberState(lab.show(lab.process("s3")), "s1")).isEqualTo("removed");
     }
 
@@ -190,9 +190,9 @@
                     "another follows",
                     () -> discovery.followers() == 1
                             && !owner("discovery/site1").equals(owner.name()));
-            double started = lab.history().nowMs();
+            double startedAtMs = lab.history().nowMs();
             owner.start();
-            awaitJoined(owner, started);
+            awaitJoined(owner, startedAtMs);
             awaitUntil("it knows the list too", () -> readCounter(owner, "discovered") == 5);
             awaitUntil("still one follows", () -> discovery.followers() == 1);
             SchedulerProcess cut = lab.processes().stream()
--- a/src/test/java/plumpost/lab/fleet/FleetIT.java
+++ b/src/test/java/plumpost/lab/fleet/FleetIT.java
@@ -25,9 +25,9 @@
                 () -> !owner("schedule").isEmpty() && !owner("schedule").equals(owner.name()));
         assertThat(fence()).isGreaterThan(before);
         assertEachRanOnce(keys);
-        double started = lab.history().nowMs();
+        double startedAtMs = lab.history().nowMs();
         owner.start();
-        awaitJoined(owner, started);
+        awaitJoined(owner, startedAtMs);
         awaitUntil(
                 "it takes jobs",
                 () -> LabWorkers.submitScheduled(owner, lab.history(), "order-it", "again", 1) != null);
@@ -53,17 +53,17 @@
                                 return !now.isEmpty() && !now.equals(owner.name());
                             }));
             Thread.sleep(500);
-            double woken = lab.history().nowMs();
+            double continuedAtMs = lab.history().nowMs();
             owner.signal("CONT");
             assertThat(lab.history()
                             .await(
-                                    woken,
+                                    continuedAtMs,
                                     TIMEOUT_MS,
                                     event -> event.source().equals(owner.name())
                                             && event.text().contains("is over")))
-                    .as("it learns that its life is over")
+                    .as("it learns that its session is over")
                     .isNotNull();
-            awaitJoined(owner, woken);
+            awaitJoined(owner, continuedAtMs);
             assertEachRanOnceOrWasGivenUp(keys);
         }
     }
@@ -109,7 +109,7 @@
         assertThat(callOperatorApi(first, "n9/offline")).isEqualTo(404);
         assertThat(callOperatorApi(first, "n1/offline")).isEqualTo(200);
         awaitUntil("it holds everywhere", () -> showFleet().list("offline").equals(List.of("n1")));
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         for (SchedulerProcess process : lab.processes()) {
             process.signal("KILL");
         }
@@ -118,7 +118,7 @@
             process.start();
         }
         for (SchedulerProcess process : lab.processes()) {
-            awaitJoined(process, killed);
+            awaitJoined(process, killedAtMs);
         }
         assertThat(showFleet().list("offline")).isEqualTo(List.of("n1"));
         awaitUntil("the fleet takes it back", () -> callOperatorApi(second, "n1/online") == 200);
@@ -133,6 +133,6 @@
                 .as("out here, but not agreed on")
                 .isEqualTo(503);
         lab.cutOff("s2", true, true, false);
-        awaitUntil("s2 is heard again", () -> callOperatorApi(second, "n1/offline") == 200);
+        awaitUntil("s2 can ban for the fleet again", () -> callOperatorApi(second, "n1/offline") == 200);
     }
 }
--- a/src/test/java/plumpost/lab/fleet/FormatsIT.java
+++ b/src/test/java/plumpost/lab/fleet/FormatsIT.java
@@ -40,13 +40,13 @@
         restart(third, 2, "c");
         awaitUntil("the newer one is written", () -> writtenFormat() == 2);
         assertEachRanOnce(submitScheduled(6, "order-it", "d", 0));
-        double at = lab.history().nowMs();
+        double restartedAtMs = lab.history().nowMs();
         third.signal("TERM");
         assertThat(third.awaitExit(TIMEOUT_MS)).isTrue();
         third.setRecordFormat(1);
         third.start();
-        awaitLogLine(third, at, "takes part no longer and serves on by itself");
-        awaitLogLine(third, at, "reads 1 to 1");
+        awaitLogLine(third, restartedAtMs, "takes part no longer and serves on by itself");
+        awaitLogLine(third, restartedAtMs, "reads 1 to 1");
         awaitUntil(
                 "the others go on",
                 () -> LabWorkers.submitScheduled(first, lab.history(), "order-it", "on", 1) != null);
@@ -54,9 +54,9 @@
         third.signal("KILL");
         assertThat(third.awaitExit(TIMEOUT_MS)).isTrue();
         third.setRecordFormat(2);
-        at = lab.history().nowMs();
+        restartedAtMs = lab.history().nowMs();
         third.start();
-        awaitJoined(third, at);
+        awaitJoined(third, restartedAtMs);
         assertEachRanOnce(submitScheduled(6, "order-it", "e", 0));
     }
 }
--- a/src/test/java/plumpost/lab/fleet/MembersIT.java
+++ b/src/test/java/plumpost/lab/fleet/MembersIT.java
@@ -37,7 +37,7 @@
         for (SchedulerProcess process : lab.processes()) {
             awaitJoined(process, 0);
         }
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         founder.signal("KILL");
         startWorkers(1, "order-it");
         awaitUntil(
@@ -46,7 +46,7 @@
         assertEachRanOnce(List.of("late"));
         assertThat(founder.awaitExit(TIMEOUT_MS)).isTrue();
         founder.start();
-        awaitJoined(founder, killed);
+        awaitJoined(founder, killedAtMs);
     }
 
     /** Guards against the loss of two processes at once: the leader of the log and the owner of the schedule. */
@@ -59,7 +59,7 @@
             SchedulerProcess leader = lab.process(showFleet().text("leader"));
             List<String> keys = submitScheduled(30, "order-it", "r" + round + "-", 2500);
             assertThat(keys).isNotEmpty();
-            double killed = lab.history().nowMs();
+            double killedAtMs = lab.history().nowMs();
             owner.signal("KILL");
             leader.signal("KILL");
             awaitUntil(
@@ -70,8 +70,8 @@
                 assertThat(process.awaitExit(TIMEOUT_MS)).isTrue();
                 process.start();
             }
-            awaitJoined(owner, killed);
-            awaitJoined(leader, killed);
+            awaitJoined(owner, killedAtMs);
+            awaitJoined(leader, killedAtMs);
         }
     }
 
@@ -104,17 +104,17 @@
             }
         });
         load.start();
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         try {
             wiped.signal("KILL");
             assertThat(wiped.awaitExit(TIMEOUT_MS)).isTrue();
             wiped.deleteData();
             wiped.start();
-            awaitLogLine(wiped, killed, "joining lab through");
+            awaitLogLine(wiped, killedAtMs, "joining lab through");
             SchedulerProcess leader = lab.process(showFleet().text("leader"));
             leader.signal("KILL");
-            awaitLogLine(wiped, killed, "fleet: member " + wiped.name() + ".");
-            awaitJoined(wiped, killed);
+            awaitLogLine(wiped, killedAtMs, "fleet: member " + wiped.name() + ".");
+            awaitJoined(wiped, killedAtMs);
             assertThat(leader.awaitExit(TIMEOUT_MS)).isTrue();
             double restartedAtMs = lab.history().nowMs();
             leader.start();
--- a/src/test/java/plumpost/lab/fleet/OrdersIT.java
+++ b/src/test/java/plumpost/lab/fleet/OrdersIT.java
@@ -47,7 +47,7 @@
         SchedulerProcess first = lab.processes().get(0);
         List<String> keys = submitOrders(first, 60, "o");
         assertThat(keys).hasSize(60);
-        double killed = lab.history().nowMs();
+        double killedAtMs = lab.history().nowMs();
         first.signal("KILL");
         addWorkers(lab.processes().get(1), 2, 1);
         addWorkers(lab.processes().get(2), 2, 1);
@@ -58,7 +58,7 @@
                 .hasSize(2);
         assertThat(first.awaitExit(TIMEOUT_MS)).isTrue();
         first.start();
-        awaitJoined(first, killed);
+        awaitJoined(first, killedAtMs);
         addWorkers(first, 1, 1);
         assertThat(LabWorkers.submitAndWait(first, lab.history(), "order-it", "o7", ANSWER_TIMEOUT_MS))
                 .as("its outcome is known everywhere")
@@ -175,9 +175,9 @@
         addWorkers(other, 2, 1);
         assertEachRanOnce(keys);
         assertThat(lab.history().ofKind("run")).allMatch(event -> event.source().equals(other.name()));
-        double healed = lab.history().nowMs();
+        double healedAtMs = lab.history().nowMs();
         lab.cutOff(cut.name(), true, true, false);
-        awaitJoined(cut, healed);
+        awaitJoined(cut, healedAtMs);
         awaitUntil(
                 "it takes orders again",
                 () -> LabWorkers.submitBackground(cut, lab.history(), "order-it", "after") != null);
@@ -229,14 +229,14 @@
                 victim.setHalt(boundary, false);
                 LabWorkers otherWorkers = new LabWorkers(other, lab.history(), 1, 1, "order-it");
                 workers.add(otherWorkers);
-                double woken = lab.history().nowMs();
+                double continuedAtMs = lab.history().nowMs();
                 if (fault.equals("KILL")) {
                     assertThat(victim.awaitExit(TIMEOUT_MS)).isTrue();
                     victim.start();
                 } else {
                     victim.signal("CONT");
                 }
-                awaitJoined(victim, woken);
+                awaitJoined(victim, continuedAtMs);
                 submission.get(60, TimeUnit.SECONDS);
                 String answer = LabWorkers.submitAndWait(other, lab.history(), "order-it", key, ANSWER_TIMEOUT_MS);
                 assertThat(answer).as(boundary + ", " + fault).isIn("WORK_COMPLETE", "WORK_FAIL");
