--- a/src/main/java/plumpost/lab/faults/FaultLibrary.java
+++ b/src/main/java/plumpost/lab/faults/FaultLibrary.java
@@ -54,7 +54,7 @@
     }
 
     private static final String SOURCE = "fault_library.c";
-    private static final double MILLIONTHS = 1e6;
+    private static final double MILLION = 1e6;
     private static final long COMPILE_TIMEOUT_S = 60;
     private static Path compiled;
 
@@ -110,33 +110,33 @@
 
     /** Offsets the wall clock from the true time by this many milliseconds; the monotonic clock is unaffected. */
     public void stepWallClock(double fromTrueTimeMs) {
-        set(ControlWord.WALL_STEP_NS, (long) (fromTrueTimeMs * MILLIONTHS));
+        set(ControlWord.WALL_STEP_NS, (long) (fromTrueTimeMs * MILLION));
     }
 
     /** Pauses event loops for {@code lengthMs} after a clock read, at least {@code gapMs} apart; length 0 ends that. */
     public void holdUp(double lengthMs, double gapMs) {
-        set(ControlWord.HOLD_UP_GAP_NS, (long) (gapMs * MILLIONTHS));
-        set(ControlWord.HOLD_UP_NS, (long) (lengthMs * MILLIONTHS));
+        set(ControlWord.HOLD_UP_GAP_NS, (long) (gapMs * MILLION));
+        set(ControlWord.HOLD_UP_NS, (long) (lengthMs * MILLION));
     }
 
     /** Makes a share of network calls fail with a transient error or transfer a single byte; 0 to 1. */
     public void failCalls(double share) {
-        set(ControlWord.CALL_FAILURES, (long) (share * MILLIONTHS));
+        set(ControlWord.CALL_FAILURES, (long) (share * MILLION));
     }
 
     /** Makes a share of accept calls fail; 0 to 1. */
     public void failAccepts(double share) {
-        set(ControlWord.ACCEPT_FAILURES, (long) (share * MILLIONTHS));
+        set(ControlWord.ACCEPT_FAILURES, (long) (share * MILLION));
     }
 
     /** Makes a share of reads and writes on connections break the connection; 0 to 1. */
     public void breakConnections(double share) {
-        set(ControlWord.CONNECTION_FAILURES, (long) (share * MILLIONTHS));
+        set(ControlWord.CONNECTION_FAILURES, (long) (share * MILLION));
     }
 
     /** Makes a share of writes, syncs and renames below the disk's folder fail with an error; 0 to 1. */
     public void failDisk(DiskError error, double share) {
-        set(ControlWord.DISK_FAILURES, (long) (share * MILLIONTHS));
+        set(ControlWord.DISK_FAILURES, (long) (share * MILLION));
         set(ControlWord.DISK_ERROR, error.number);
     }
 
--- a/src/main/java/plumpost/lab/script/Rig.java
+++ b/src/main/java/plumpost/lab/script/Rig.java
@@ -5,7 +5,7 @@
     /** Sends bytes as a peer; the first call connects it. */
     void send(String peer, byte[] bytes);
 
-    /** Waits at most {@code longestMs} for bytes to a peer and returns them; empty on timeout, null once it is closed. */
+    /** Waits at most {@code timeoutMs} for bytes to a peer and returns them; empty on timeout, null once it is closed. */
     byte[] take(String peer, double timeoutMs);
 
     /** Closes the connection of a peer. */
--- a/src/test/java/plumpost/lab/fleet/DisksIT.java
+++ b/src/test/java/plumpost/lab/fleet/DisksIT.java
@@ -17,7 +17,7 @@
 @Timeout(300)
 class DisksIT extends FleetTestBase {
 
-    /** Guards against one disk with two-second syncs: its scheduler loses duty and new work, the others are not delayed. */
+    /** Guards against one disk with two-second syncs: its scheduler loses duty and new work, the rest goes on. */
     @Test
     void oneSlowDiskCostsTheOthersNothing() throws Exception {
         startFleet(3, 0, 3, "");
@@ -55,7 +55,10 @@
             process.setSyncDelay(2000);
         }
         keys.addAll(submitScheduled(
-                12, "order-it", "s", 1000)); // mostly answered as not agreed on: such a job may run once
+                12,
+                "order-it",
+                "s",
+                1000)); // mostly answered that the outcome is unknown: such a job may still run once
         for (SchedulerProcess process : lab.processes()) {
             process.setSyncDelay(0);
         }
--- a/src/test/java/plumpost/lab/fleet/OrdersIT.java
+++ b/src/test/java/plumpost/lab/fleet/OrdersIT.java
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Guards against work without a majority: a scheduler cut off neither accepts nor hands out covered orders. */
+    /** Guards against work without a majority: a scheduler cut off refuses covered orders at once and hands none out. */
     @Test
     void withoutTheMajorityNothingCoveredIsTakenOrHandedOut() throws Exception {
         startCoveringFleet("");
