--- a/src/main/java/plumpost/lab/soak/FaultKind.java
+++ b/src/main/java/plumpost/lab/soak/FaultKind.java
@@ -2,37 +2,37 @@
 
 import java.util.Set;
 
-/** What a soak plays on its schedulers, workers, discovery and network. */
+/** The kinds of faults that a soak injects into its schedulers, workers, discovery and network. */
 public enum FaultKind {
-    /** SIGTERM, SIGKILL as early as the platform allows, and a new process. */
+    /** SIGTERM, then SIGKILL as early as the platform allows, then a new process. */
     RESTART(3),
-    /** SIGKILL without notice, and a new process. */
+    /** SIGKILL without a SIGTERM before it, then a new process. */
     KILL(1),
-    /** The process is stopped for 0.15 s again and again. */
+    /** The process is repeatedly stopped for 0.15 s by SIGSTOP. */
     SUSPENSIONS(2),
-    /** The event loop is held up for 0.15 s after clock reads, again and again. */
+    /** The event loop is repeatedly blocked for 0.15 s after a clock read. */
     HOLD_UPS(2),
-    /** The wall clock steps by seconds or an hour, either way. */
+    /** The wall clock steps forwards or backwards by seconds or by an hour. */
     WALL_CLOCK_STEP(3),
-    /** Network calls fail with passing errors or move one byte. */
+    /** Network calls fail with transient errors or transfer a single byte. */
     FAILING_CALLS(2),
     /** Established connections break with errors. */
     BREAKING_CONNECTIONS(1),
-    /** The lasting folder takes no writes. */
+    /** Writes to the folder with the persistent state fail. */
     FAILING_DISK(2),
-    /** SIGHUP several times, with good, empty and cut files. */
+    /** Several SIGHUPs, with valid, empty and truncated settings files. */
     RELOADS(1),
-    /** An operator takes a worker out and calls it back. */
+    /** An operator takes a worker offline and puts it online again. */
     OPERATOR_CALLS(2),
-    /** Discovery is away, mute or slow, or its watches fall silent. */
+    /** Discovery is unavailable, unresponsive or slow, or its open watches send nothing more. */
     DISCOVERY(2),
-    /** Workers drain and new ones take their places. */
+    /** Workers drain and are replaced by new ones. */
     DRAINS(3),
-    /** Workers take requests and end none. */
+    /** Workers accept requests and complete none of them. */
     HANGING_WORKERS(3),
-    /** Workers reset connections under requests and close idle ones. */
+    /** Workers reset connections that carry requests and close idle ones. */
     RESETTING_WORKERS(2),
-    /** A worker dies and is replaced. */
+    /** A worker crashes and is replaced. */
     WORKER_CRASH(1);
 
     private final int weight;
@@ -41,14 +41,15 @@
         this.weight = weight;
     }
 
-    /** The kind at a point of the line on which each of some kinds takes up its weight. */
-    static FaultKind at(double part, Set<FaultKind> kinds) {
-        double left = part * kinds.stream().mapToInt(kind -> kind.weight).sum();
+    /** Picks one of the kinds in proportion to their weights by a fraction from 0 up to 1. */
+    static FaultKind pickByWeight(double fraction, Set<FaultKind> kinds) {
+        double remainingWeight =
+                fraction * kinds.stream().mapToInt(kind -> kind.weight).sum();
         FaultKind last = null;
         for (FaultKind kind : kinds) {
             last = kind;
-            left -= kind.weight;
-            if (left < 0) {
+            remainingWeight -= kind.weight;
+            if (remainingWeight < 0) {
                 break;
             }
         }
--- a/src/main/java/plumpost/lab/soak/Oracle.java
+++ b/src/main/java/plumpost/lab/soak/Oracle.java
@@ -14,48 +14,52 @@
 import plumpost.lab.soak.RequestRecord.RequestClass;
 
 /**
- * Judges a soak by the users' rules, from what clients, workers and discovery saw. It knows nothing of the program's inside. Its
- * time is the player's; what the player itself was late by is allowed for. One thread owns it.
+ * Checks a soak against the users' rules, using only what the emulated clients, workers and discovery observed and no internal
+ * state of the program. Times are those of the laboratory's loop, whose own lag is added to every tolerance. Not thread-safe:
+ * all calls are made on that loop's thread.
  */
 final class Oracle {
-    /** The rules, in the field's terms of the standing page. */
+    /** The rules that a run must not break; the names appear in printed reports. */
     enum Rule {
-        /** A request without its final answer in time. */
+        /** A request did not get its final answer in time. */
         LOST,
-        /** An attempt after an earlier one may have run, of a class that must not. */
+        /** A request of a class that must run at most once was sent again after an earlier attempt may have run. */
         DUPLICATE,
-        /** Two attempts of a request out at once. */
+        /** Two attempts of one request were outstanding at the same time. */
         CONCURRENT,
-        /** A refusal though it may have run. */
+        /** A request was refused although it may have run. */
         UNSAFE_REFUSAL,
-        /** Sent to a worker that was told to drain, or that an operator took out. */
+        /** A request was sent to a worker that was known to drain, or that an operator had taken offline. */
         DRAIN,
-        /** An attempt that began after its client had left. */
+        /** An attempt began after its client had disconnected. */
         AFTER_LEAVE,
-        /** A worker told of more time than the client has left. */
+        /** A worker was told of more remaining time than the client had. */
         TOLD_TIME,
-        /** An answer that no worker made. */
+        /** A message that no peer sent: an unknown request id, a wrong answer or malformed HTTP. */
         FORGED,
-        /** A rule's guard in the program stepped in. */
+        /** The program's own rule guard intervened or it logged a fault. */
         GUARD,
-        /** A process that ended by itself, or was not ready in time. */
+        /** A process ended unexpectedly or with an error, or was not ready in time. */
         CRASH,
-        /** A client that stopped in the middle of a request and was neither answered nor closed in time. */
+        /** A client that stopped in the middle of a request was neither answered nor disconnected in time. */
         STALLED
     }
 
-    /** The platform's figures: grace of a drain, and its slack on sockets. */
+    /** How long after the notification a scheduler may still send to a draining worker, as the platform defines it. */
     private static final double DRAIN_GRACE_MS = 400;
 
+    /** The platform's tolerance for events that are observed on sockets. */
     private static final double SOCKET_SLACK_MS = 50;
+
     private static final double LATE_ANSWER_MS = 500;
     private static final double AFTER_LEAVE_MS = 100;
-    private static final double TOLD_TIME_SLACK_MS = 150;
-    private static final double TAKEN_LATE_MS = 700;
-    /** How long the player waits before it judges, so that what is on its way has come. */
+    private static final double REMAINING_TIME_SLACK_MS = 150;
+    /** A request that was sent within this time after SIGTERM may be cut off by the SIGKILL that follows. */
+    private static final double ACCEPT_AFTER_TERM_MS = 700;
+    /** Extra delay before a request is judged, so that events in transit have arrived. */
     private static final double SETTLE_MS = 400;
-    /** What the player may be off by, besides its measured lag. */
-    private static final double PLAYER_SLACK_MS = 60;
+    /** Timing error of the laboratory besides its measured lag. */
+    private static final double LAB_SLACK_MS = 60;
 
     private final Map<String, RequestRecord> open = new LinkedHashMap<>();
     private final Map<String, RequestRecord> recent = new HashMap<>();
@@ -63,16 +67,16 @@
     private final Map<String, Long> counts = new TreeMap<>();
     private final DoubleSupplier lagMs;
 
-    /** An oracle that allows for what the player itself was late by lately. */
+    /** Creates an oracle that adds the laboratory's recent lag to its tolerances. */
     Oracle(DoubleSupplier lagMs) {
         this.lagMs = lagMs;
     }
 
     private double slackMs() {
-        return PLAYER_SLACK_MS + lagMs.getAsDouble();
+        return LAB_SLACK_MS + lagMs.getAsDouble();
     }
 
-    void violated(Rule rule, String detail) {
+    void recordViolation(Rule rule, String detail) {
         violations.computeIfAbsent(rule, none -> new ArrayList<>()).add(detail);
     }
 
@@ -88,54 +92,55 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    void sending(RequestRecord request) {
+    void requestSent(RequestRecord request) {
         open.put(request.id, request);
         recent.put(request.id, request);
         count("requests");
     }
 
-    RequestRecord request(String id) {
+    RequestRecord findRequest(String id) {
         return recent.get(id);
     }
 
-    // ---- what clients see ----
+    // ---- observations of clients ----
 
     void answered(RequestRecord request, int status, String body, double now) {
         request.answeredAt = now;
         request.status = status;
         count("answers." + status);
         if (status == 200 && !body.equals("result-" + request.id)) {
-            violated(Rule.FORGED, request + " was answered with " + body);
+            recordViolation(Rule.FORGED, request + " was answered with " + body);
         }
         boolean refused = status == 503 || status == 429;
         boolean mayHaveRun = request.attempts.stream().anyMatch(AttemptRecord::mayHaveRun);
         if (refused && request.requestClass == RequestClass.ORDER && mayHaveRun) {
-            violated(Rule.UNSAFE_REFUSAL, request + " was refused at " + Math.round(now));
+            recordViolation(Rule.UNSAFE_REFUSAL, request + " was refused at " + Math.round(now));
         }
     }
 
-    // ---- what workers see ----
+    // ---- observations of workers ----
 
     void attemptBegan(RequestRecord request, AttemptRecord attempt) {
         request.attempts.add(attempt);
     }
 
-    void attemptWhole(RequestRecord request, AttemptRecord attempt, double toldMs, double now) {
+    void attemptReceived(RequestRecord request, AttemptRecord attempt, double announcedMs, double now) {
         count("attempts");
-        attempt.wholeAt = now;
+        attempt.receivedAt = now;
         for (AttemptRecord earlier : request.attempts) {
             if (earlier != attempt && request.requestClass == RequestClass.ORDER && earlier.mayHaveRun()) {
-                violated(Rule.DUPLICATE, request + " on " + attempt.worker + " after " + earlier.worker);
+                recordViolation(Rule.DUPLICATE, request + " on " + attempt.worker + " after " + earlier.worker);
             }
         }
-        if (!Double.isNaN(request.leftAt) && now > request.leftAt + AFTER_LEAVE_MS + slackMs()) {
-            violated(
+        if (!Double.isNaN(request.clientLeftAt) && now > request.clientLeftAt + AFTER_LEAVE_MS + slackMs()) {
+            recordViolation(
                     Rule.AFTER_LEAVE,
-                    request + " began " + Math.round(now - request.leftAt) + " ms after its client left");
+                    request + " began " + Math.round(now - request.clientLeftAt) + " ms after its client left");
         }
         double left = request.deadlineAt() - attempt.firstByteAt;
-        if (toldMs > left + TOLD_TIME_SLACK_MS + slackMs()) {
-            violated(Rule.TOLD_TIME, request + " tells " + toldMs + " ms, " + Math.round(left) + " are left");
+        if (announcedMs > left + REMAINING_TIME_SLACK_MS + slackMs()) {
+            recordViolation(
+                    Rule.TOLD_TIME, request + " tells " + announcedMs + " ms, " + Math.round(left) + " are left");
         }
     }
 
@@ -146,34 +151,36 @@
         }
     }
 
-    /** A request arrived at a worker that had been told of as leaving, or was taken out, at a time. */
-    void attemptOnLeaving(RequestRecord request, AttemptRecord attempt, double toldAt, String how) {
-        double limit = toldAt + DRAIN_GRACE_MS + SOCKET_SLACK_MS + slackMs();
+    /** Reports a DRAIN violation where a request reached a worker too long after its scheduler was notified that it leaves. */
+    void checkSentToLeavingWorker(RequestRecord request, AttemptRecord attempt, double notifiedAt, String how) {
+        double limit = notifiedAt + DRAIN_GRACE_MS + SOCKET_SLACK_MS + slackMs();
         if (attempt.firstByteAt > limit) {
-            violated(
+            recordViolation(
                     Rule.DRAIN,
                     request + " sent to " + attempt.worker + " at " + Math.round(attempt.firstByteAt) + ", " + how
-                            + " at " + Math.round(toldAt));
+                            + " at " + Math.round(notifiedAt));
         }
     }
 
-    // ---- the judgement ----
+    // ---- evaluation ----
 
-    /** Judges all requests whose time is over. */
+    /** Judges all requests whose deadline and tolerances, or whose process, are over. */
     void judge(double now) {
-        for (Iterator<RequestRecord> each = open.values().iterator(); each.hasNext(); ) {
-            RequestRecord request = each.next();
+        for (Iterator<RequestRecord> iterator = open.values().iterator(); iterator.hasNext(); ) {
+            RequestRecord request = iterator.next();
             double judgedAt = request.deadlineAt() + LATE_ANSWER_MS + SETTLE_MS + slackMs();
             if (now > judgedAt
-                    || request.life.over() && now > request.life.endedAt + SETTLE_MS && !request.answered()) {
-                each.remove();
+                    || request.schedulerRun.hasEnded()
+                            && now > request.schedulerRun.endedAt + SETTLE_MS
+                            && !request.answered()) {
+                iterator.remove();
                 judge(request);
             }
         }
         recent.values().removeIf(request -> now > request.deadlineAt() + 10_000);
     }
 
-    /** Judges what is left at the end. */
+    /** Judges all requests that are still open at the end of the run. */
     void judgeAll() {
         Collection<RequestRecord> left = List.copyOf(open.values());
         open.clear();
@@ -181,50 +188,51 @@
     }
 
     private void judge(RequestRecord request) {
-        concurrency(request);
-        if (Double.isNaN(request.wholeAt) || !Double.isNaN(request.leftAt)) {
+        checkConcurrency(request);
+        if (Double.isNaN(request.sentAt) || !Double.isNaN(request.clientLeftAt)) {
             count("requests.left_or_unsent");
             return;
         }
         if (request.answered()) {
             if (request.answeredAt > request.deadlineAt() + LATE_ANSWER_MS + slackMs()) {
-                violated(Rule.LOST, request + " answered only at " + Math.round(request.answeredAt));
+                recordViolation(Rule.LOST, request + " answered only at " + Math.round(request.answeredAt));
             }
             return;
         }
-        String why = lostBecause(request);
+        String why = lossReason(request);
         if (why == null) {
             count("requests.free");
         } else {
-            violated(Rule.LOST, request + " " + why + ", forwarded: " + request.forwarded() + attemptTimes(request));
+            recordViolation(
+                    Rule.LOST, request + " " + why + ", forwarded: " + request.forwarded() + attemptTimes(request));
         }
     }
 
     private static String attemptTimes(RequestRecord request) {
-        StringBuilder words = new StringBuilder();
-        request.attempts.forEach(attempt -> words.append(", ")
+        StringBuilder text = new StringBuilder();
+        request.attempts.forEach(attempt -> text.append(", ")
                 .append(attempt.worker)
                 .append(" whole at ")
-                .append(Math.round(attempt.wholeAt))
+                .append(Math.round(attempt.receivedAt))
                 .append(' ')
                 .append(attempt.end)
                 .append(" at ")
                 .append(Math.round(attempt.endedAt)));
-        return words.toString();
+        return text.toString();
     }
 
-    /** Why an unanswered request is lost, or null where the rules free it. */
-    private static String lostBecause(RequestRecord request) {
-        SchedulerLife life = request.life;
-        boolean killed = life.over() && life.endedAt <= request.deadlineAt() + LATE_ANSWER_MS;
+    /** Returns why an unanswered request counts as lost, or null where the rules allow it to go unanswered. */
+    private static String lossReason(RequestRecord request) {
+        SchedulerRun life = request.schedulerRun;
+        boolean killed = life.hasEnded() && life.endedAt <= request.deadlineAt() + LATE_ANSWER_MS;
         boolean closed = !Double.isNaN(request.closedUnansweredAt);
-        if (life.connectionsBreak && closed) {
-            return null; // its connection was broken by a fault of the network
+        if (life.connectionsMayBreak && closed) {
+            return null; // an injected network fault broke its connection
         }
-        if (life.terminated()) {
-            boolean early = request.wholeAt <= life.terminatedAt + TAKEN_LATE_MS;
+        if (life.wasTerminated()) {
+            boolean early = request.sentAt <= life.terminatedAt + ACCEPT_AFTER_TERM_MS;
             boolean unread = closed && !request.forwarded();
-            boolean cutOff = killed && !life.endedInOrder;
+            boolean cutOff = killed && !life.endedCleanly;
             return cutOff && early || unread
                     ? null
                     : "had no answer in the shutdown of " + Math.round(life.terminatedAt);
@@ -236,16 +244,16 @@
         return crossed ? null : closed ? "was closed unanswered" : "had no answer";
     }
 
-    /** Two attempts out at once: an earlier one ended only well after a later one had begun. */
-    private void concurrency(RequestRecord request) {
+    /** Reports attempts that overlap: the earlier one ended later than the tolerance after the next one was received. */
+    private void checkConcurrency(RequestRecord request) {
         for (int later = 1; later < request.attempts.size(); later++) {
             AttemptRecord second = request.attempts.get(later);
             AttemptRecord first = request.attempts.get(later - 1);
-            boolean both = !Double.isNaN(first.wholeAt) && !Double.isNaN(second.wholeAt);
-            if (both && !(first.endedAt <= second.wholeAt + SOCKET_SLACK_MS + slackMs())) {
-                violated(
+            boolean both = !Double.isNaN(first.receivedAt) && !Double.isNaN(second.receivedAt);
+            if (both && !(first.endedAt <= second.receivedAt + SOCKET_SLACK_MS + slackMs())) {
+                recordViolation(
                         Rule.CONCURRENT,
-                        request + " on " + second.worker + " at " + Math.round(second.wholeAt) + " while on "
+                        request + " on " + second.worker + " at " + Math.round(second.receivedAt) + " while on "
                                 + first.worker + " until " + Math.round(first.endedAt));
             }
         }
--- a/src/main/java/plumpost/lab/soak/RequestRecord.java
+++ b/src/main/java/plumpost/lab/soak/RequestRecord.java
@@ -3,15 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What clients and workers saw of one request. Times are the player's, in milliseconds; NaN for what did not happen. */
+/**
+ * What clients and workers observed of one request. Times are milliseconds of the laboratory's clock, NaN for what has not
+ * happened.
+ */
 final class RequestRecord {
-    /** What classes of requests may do when they may have run. */
+    /** Classes of requests, which differ in whether a request that may have run can be sent again. */
     enum RequestClass {
         /** Safe to repeat. */
         PLAN("plan", 4_000),
-        /** Must never run twice. */
+        /** Must run at most once. */
         ORDER("order", 6_000),
-        /** Workers drop a repeat within a window. */
+        /** Workers discard duplicates within a time window. */
         ISSUE("issue", 3_500);
 
         private final String path;
@@ -44,7 +47,7 @@
     static final class AttemptRecord {
         final String worker;
         final double firstByteAt;
-        double wholeAt = Double.NaN;
+        double receivedAt = Double.NaN;
         double endedAt = Double.NaN;
         AttemptEnd end = AttemptEnd.OPEN;
 
@@ -54,39 +57,43 @@
         }
 
         boolean mayHaveRun() {
-            return !Double.isNaN(wholeAt) && end != AttemptEnd.TURNED_AWAY;
+            return !Double.isNaN(receivedAt) && end != AttemptEnd.TURNED_AWAY;
         }
     }
 
     final String id;
     final RequestClass requestClass;
-    final SchedulerLife life;
+    final SchedulerRun schedulerRun;
     final double remainingMs;
-    /** Whether it was the first request on its connection. */
+    /** Whether this was the first request on its connection. */
     final boolean onNewConnection;
 
     final List<AttemptRecord> attempts = new ArrayList<>(2);
-    double wholeAt = Double.NaN;
-    double leftAt = Double.NaN;
+    double sentAt = Double.NaN;
+    double clientLeftAt = Double.NaN;
     double answeredAt = Double.NaN;
     double closedUnansweredAt = Double.NaN;
     int status;
 
     RequestRecord(
-            String id, RequestClass requestClass, SchedulerLife life, double remainingMs, boolean onNewConnection) {
+            String id,
+            RequestClass requestClass,
+            SchedulerRun schedulerRun,
+            double remainingMs,
+            boolean onNewConnection) {
         this.id = id;
         this.requestClass = requestClass;
-        this.life = life;
+        this.schedulerRun = schedulerRun;
         this.remainingMs = remainingMs;
         this.onNewConnection = onNewConnection;
     }
 
     double deadlineAt() {
-        return wholeAt + remainingMs;
+        return sentAt + remainingMs;
     }
 
     boolean forwarded() {
-        return attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.wholeAt));
+        return attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.receivedAt));
     }
 
     boolean answered() {
@@ -95,7 +102,7 @@
 
     @Override
     public String toString() {
-        return "request " + id + " (" + requestClass.path() + ", " + life + ", whole at " + Math.round(wholeAt)
+        return "request " + id + " (" + requestClass.path() + ", " + schedulerRun + ", whole at " + Math.round(sentAt)
                 + ", waits " + Math.round(remainingMs) + ")";
     }
 }
--- /dev/null
+++ b/src/main/java/plumpost/lab/soak/SchedulerRun.java
@@ -0,0 +1,38 @@
+package plumpost.lab.soak;
+
+import java.net.InetSocketAddress;
+
+/** One process of one scheduler, from ready to end. Times are milliseconds of the laboratory's clock, NaN if not reached. */
+final class SchedulerRun {
+    final int scheduler;
+    final int number;
+    final InetSocketAddress front;
+    final double readyAt;
+    double terminatedAt = Double.NaN;
+    /** When the process was killed or had exited. */
+    double endedAt = Double.NaN;
+    /** Whether it exited with status 0 and not by SIGKILL: then it must have answered all requests that it accepted. */
+    boolean endedCleanly;
+    /** Whether an injected fault may have broken its connections. */
+    boolean connectionsMayBreak;
+
+    SchedulerRun(int scheduler, int number, InetSocketAddress front, double readyAt) {
+        this.scheduler = scheduler;
+        this.number = number;
+        this.front = front;
+        this.readyAt = readyAt;
+    }
+
+    boolean hasEnded() {
+        return !Double.isNaN(endedAt);
+    }
+
+    boolean wasTerminated() {
+        return !Double.isNaN(terminatedAt);
+    }
+
+    @Override
+    public String toString() {
+        return "scheduler " + scheduler + " life " + number;
+    }
+}
--- a/src/main/java/plumpost/lab/soak/SchedulerSlot.java
+++ b/src/main/java/plumpost/lab/soak/SchedulerSlot.java
@@ -14,31 +14,32 @@
 import plumpost.lab.faults.FaultLibrary;
 
 /**
- * One scheduler of a soak over all its processes: its settings file, its lasting folder, its clock and system calls, and the
- * signals that it gets. Its calls block; one at a time changes the process.
+ * One scheduler of a soak across all its processes: its settings file, its folder with persistent state, the library that
+ * falsifies its clock and system calls, and the signals that it receives. The methods block; restarts, kills and reloads of one
+ * scheduler exclude each other.
  */
 final class SchedulerSlot implements AutoCloseable {
-    /** SIGKILL comes no sooner than that after SIGTERM (protocol page, deadlines of 3 s and more). */
+    /** The protocol guarantees at least this time between SIGTERM and SIGKILL for deadlines of 3 s and more. */
     private static final long KILL_AFTER_MS = 3_700;
 
     private static final double READY_WITHIN_MS = 10_000;
     private static final int OPERATOR_TIMEOUT_MS = 2_000;
 
-    /** What the run does with a process that came up or ended. */
+    /** Receives what happens to the processes of a slot. */
     interface Events {
-        /** The list of workers, for a configuration. */
+        /** Returns the list of workers for a settings file. */
         String knownWorkers() throws InterruptedException;
 
-        /** A process is ready. */
-        void up(SchedulerLife life) throws InterruptedException;
+        /** Called when a process is ready. */
+        void onReady(SchedulerRun schedulerRun) throws InterruptedException;
 
-        /** Something about a life changes, on the thread that owns it. */
-        void change(Runnable what) throws InterruptedException;
+        /** Runs an action that changes shared state on the laboratory's loop and waits for it. */
+        void runOnLoop(Runnable action) throws InterruptedException;
 
-        /** A rule was broken by a process as a whole. */
-        void violated(Oracle.Rule rule, String detail);
+        /** Records that a process broke a rule. */
+        void recordViolation(Oracle.Rule rule, String detail);
 
-        /** The player's clock. */
+        /** Returns the time of the laboratory's clock in milliseconds. */
         double nowMs();
     }
 
@@ -50,8 +51,8 @@
     private final FaultLibrary faults;
     private final Events events;
     private SchedulerProcess process;
-    private SchedulerLife life;
-    private int lives;
+    private SchedulerRun currentRun;
+    private int runCount;
     private boolean changing;
     private boolean breaking;
     private final AtomicBoolean holdingUp = new AtomicBoolean();
@@ -72,18 +73,18 @@
         return faults;
     }
 
-    SchedulerLife life() {
-        return life;
+    SchedulerRun currentRun() {
+        return currentRun;
     }
 
-    /** Begins a change of the process; false where one is under way. */
-    private synchronized boolean begin() {
-        boolean mine = !changing;
+    /** Begins a change of the process; returns false if another one is in progress. */
+    private synchronized boolean tryBeginChange() {
+        boolean begun = !changing;
         changing = true;
-        return mine;
+        return begun;
     }
 
-    private synchronized void end() {
+    private synchronized void endChange() {
         changing = false;
     }
 
@@ -96,88 +97,91 @@
         process.awaitReady();
         double tookMs = events.nowMs() - began;
         if (tookMs > READY_WITHIN_MS) {
-            events.violated(
+            events.recordViolation(
                     Oracle.Rule.CRASH, "scheduler " + index + " was ready only after " + Math.round(tookMs) + " ms");
         }
-        SchedulerLife now = new SchedulerLife(index, lives++, process.front(), events.nowMs());
-        now.connectionsBreak = breaking;
-        life = now;
-        events.up(now);
-        SchedulerProcess mine = process;
-        mine.handle().onExit().thenRun(() -> exited(now, mine));
+        SchedulerRun started = new SchedulerRun(index, runCount++, process.front(), events.nowMs());
+        started.connectionsMayBreak = breaking;
+        currentRun = started;
+        events.onReady(started);
+        SchedulerProcess startedProcess = process;
+        startedProcess.handle().onExit().thenRun(() -> onProcessExit(started, startedProcess));
     }
 
-    private void exited(SchedulerLife ended, SchedulerProcess its) {
-        if (!ended.terminated() && !ended.over()) {
-            events.violated(Oracle.Rule.CRASH, ended + " ended by itself: " + last(its.log()));
+    private void onProcessExit(SchedulerRun ended, SchedulerProcess endedProcess) {
+        if (!ended.wasTerminated() && !ended.hasEnded()) {
+            events.recordViolation(Oracle.Rule.CRASH, ended + " ended by itself: " + lastLines(endedProcess.log()));
         }
-        its.log().stream()
+        endedProcess.log().stream()
                 .filter(line -> line.contains(": guard ") || line.contains("fault "))
-                .forEach(line -> events.violated(Oracle.Rule.GUARD, ended + ": " + line));
+                .forEach(line -> events.recordViolation(Oracle.Rule.GUARD, ended + ": " + line));
     }
 
-    private static List<String> last(List<String> log) {
+    private static List<String> lastLines(List<String> log) {
         return log.subList(Math.max(0, log.size() - 5), log.size());
     }
 
-    /** SIGTERM, SIGKILL as early as is allowed, and a new process after a pause. */
+    /** Sends SIGTERM, then SIGKILL as early as is allowed, and starts a new process after a pause. */
     void restart(long pauseMs) throws IOException, InterruptedException {
-        if (!begin()) {
+        if (!tryBeginChange()) {
             return;
         }
         try {
-            SchedulerLife ending = life;
+            SchedulerRun ending = currentRun;
             double now = events.nowMs();
-            events.change(() -> ending.terminatedAt = now);
+            events.runOnLoop(() -> ending.terminatedAt = now);
             process.terminate();
             int code = process.awaitEnd(KILL_AFTER_MS);
             if (code > 0) {
-                events.violated(Oracle.Rule.CRASH, ending + " ended with " + code);
+                events.recordViolation(Oracle.Rule.CRASH, ending + " ended with " + code);
             }
             process.kill();
             process.awaitEnd(KILL_AFTER_MS);
             double over = events.nowMs();
-            events.change(() -> {
+            events.runOnLoop(() -> {
                 ending.endedAt = over;
-                ending.endedInOrder = code == 0;
+                ending.endedCleanly = code == 0;
             });
             Thread.sleep(pauseMs);
             start();
         } finally {
-            end();
+            endChange();
         }
     }
 
-    /** SIGKILL without notice, and a new process after a pause. */
+    /** Sends SIGKILL without SIGTERM and starts a new process after a pause. */
     void kill(long pauseMs) throws IOException, InterruptedException {
-        if (!begin()) {
+        if (!tryBeginChange()) {
             return;
         }
         try {
-            SchedulerLife ending = life;
+            SchedulerRun ending = currentRun;
             double now = events.nowMs();
-            events.change(() -> ending.endedAt = now);
+            events.runOnLoop(() -> ending.endedAt = now);
             process.kill();
             process.awaitEnd(KILL_AFTER_MS);
             Thread.sleep(pauseMs);
             start();
         } finally {
-            end();
+            endChange();
         }
     }
 
-    /** So large a part of reads and writes finds its connection broken from now on, in later processes too. */
-    void breakConnections(double part) throws InterruptedException {
-        breaking = part > 0;
-        SchedulerLife now = life;
+    /** Makes a fraction of all reads and writes fail with a broken connection from now on, also in later processes. */
+    void breakConnections(double fraction) throws InterruptedException {
+        breaking = fraction > 0;
+        SchedulerRun affected = currentRun;
         if (breaking) {
-            events.change(() -> now.connectionsBreak = true);
+            events.runOnLoop(() -> affected.connectionsMayBreak = true);
         }
-        faults.breakConnections(part);
+        faults.breakConnections(fraction);
     }
 
-    /** Stops the process for a time again and again. The terms allow one hold-up at a time, so that kinds of them take turns. */
-    void suspendAgainAndAgain(long lengthMs, long gapMs, long forMs) throws IOException, InterruptedException {
+    /**
+     * Stops the process repeatedly for {@code forMs}. The terms allow one hold-up at a time, so this does nothing while another
+     * one, of either kind, is in progress.
+     */
+    void suspendRepeatedly(long lengthMs, long gapMs, long forMs) throws IOException, InterruptedException {
         if (!holdingUp.compareAndSet(false, true)) {
             return;
         }
@@ -191,7 +195,7 @@
         holdingUp.set(false);
     }
 
-    /** Holds the event loop up after clock reads for a while. */
+    /** Blocks the event loop after clock reads for {@code forMs}; does nothing while another hold-up is in progress. */
     void holdUp(long lengthMs, double gapMs, long forMs) throws InterruptedException {
         if (!holdingUp.compareAndSet(false, true)) {
             return;
@@ -199,51 +203,51 @@
         faults.holdUp(lengthMs, gapMs);
         Thread.sleep(forMs);
         faults.holdUp(0, 0);
-        Thread.sleep(lengthMs); // the last one is over
+        Thread.sleep(lengthMs); // lets the last hold-up finish
         holdingUp.set(false);
     }
 
-    /** SIGHUPs in a row, with an empty file, one cut somewhere and a good one; the last one is good. */
-    void reload(double cutPart) throws IOException, InterruptedException {
-        if (!begin()) {
+    /** Sends SIGHUPs with a valid, an empty, a truncated and again a valid settings file. */
+    void reload(double cutFraction) throws IOException, InterruptedException {
+        if (!tryBeginChange()) {
             return;
         }
         try {
             String good = configuration(events.knownWorkers());
-            for (String text : List.of(good, "", good.substring(0, (int) (cutPart * good.length())), good)) {
+            for (String text : List.of(good, "", good.substring(0, (int) (cutFraction * good.length())), good)) {
                 Files.writeString(settings, text);
                 process.reload();
                 Thread.sleep(50);
             }
         } finally {
-            end();
+            endChange();
         }
     }
 
-    /** An operator's call; true where it was acknowledged. */
-    boolean operator(String worker, boolean out) {
+    /** Takes a worker offline or online as an operator does; returns whether the call was acknowledged. */
+    boolean callOperator(String worker, boolean offline) {
         String ready = process.log().stream()
                 .filter(line -> line.contains(" control /"))
                 .reduce("", (first, second) -> second);
         int port = Integer.parseInt(ready.replaceAll(".* control /[0-9.]+:([0-9]+).*", "$1"));
         try (Socket call = new Socket(InetAddress.getLoopbackAddress(), port)) {
             call.setSoTimeout(OPERATOR_TIMEOUT_MS);
-            String request = "POST /control/workers/" + worker + (out ? "/offline" : "/online")
+            String request = "POST /control/workers/" + worker + (offline ? "/offline" : "/online")
                     + " HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n";
             call.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             byte[] answer = new byte[1024];
-            int n = call.getInputStream().read(answer);
-            return n > 0 && new String(answer, 0, n, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200 ");
+            int length = call.getInputStream().read(answer);
+            return length > 0 && new String(answer, 0, length, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200 ");
         } catch (IOException e) {
-            return false; // the process is not up, or does not answer now: nothing is acknowledged
+            return false; // the process is down or does not answer: not acknowledged
         }
     }
 
-    private String configuration(String known) {
-        return "{\"name\":\"s" + index + "\",\"listen\":\"127.0.0.1:0\",\"ops\":\"127.0.0.1:0\",\"seed\":\"" + lives
+    private String configuration(String knownWorkers) {
+        return "{\"name\":\"s" + index + "\",\"listen\":\"127.0.0.1:0\",\"ops\":\"127.0.0.1:0\",\"seed\":\"" + runCount
                 + index + "\",\"discovery\":\"" + discovery
                 + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},\"known\":"
-                + known + ",\"settings\":" + settings() + "}";
+                + knownWorkers + ",\"settings\":" + settings() + "}";
     }
 
     private String settings() {
--- a/src/main/java/plumpost/lab/soak/SoakClients.java
+++ b/src/main/java/plumpost/lab/soak/SoakClients.java
@@ -18,24 +18,25 @@
 import plumpost.time.TimerWheel;
 
 /**
- * The clients of a soak: each sends one request at a time on a connection that it keeps. Some write in pieces, leave early, have
- * little time left, or stop in the middle of a request and stay.
+ * The clients of a soak: each sends one request at a time over a persistent connection. Some send a request in two parts,
+ * disconnect early, have a short deadline, or stop in the middle of a request and keep the connection open.
  */
 final class SoakClients {
-    private static final int MOST_CONNECTIONS = 150;
-    private static final int ANSWER_LIMIT = 64 * 1024;
-    /** The front lets new connections come for so long after SIGTERM. */
+    private static final int MAX_CONNECTIONS = 150;
+    private static final int MAX_ANSWER_BYTES = 64 * 1024;
+    /** The front accepts new connections for this long after SIGTERM. */
     private static final double NEW_CONNECTIONS_MS = 300;
 
-    private static final double LEAVES_PART = 0.03;
-    private static final double PIECES_PART = 0.15;
-    private static final double LITTLE_TIME_PART = 0.02;
-    private static final double SHORT_TIME_PART = 0.1;
-    private static final double STOPS_PART = 0.01;
-    /** Bad clients are owed an error or the end of their connection within this, with the sweep's and a hold-up's slack. */
-    private static final double STALLED_MS = 3_000;
+    private static final double LEAVE_FRACTION = 0.03;
+    private static final double SPLIT_FRACTION = 0.15;
+    private static final double VERY_SHORT_DEADLINE_FRACTION = 0.02;
+    private static final double SHORT_DEADLINE_FRACTION = 0.1;
+    private static final double STALL_FRACTION = 0.01;
+    /** A stalled client must get an error or be disconnected within this time. */
+    private static final double STALL_TIMEOUT_MS = 3_000;
 
-    private static final double STALLED_SLACK_MS = 300;
+    /** Tolerance for the interval of the sweep that closes stalled connections and for one hold-up. */
+    private static final double STALL_TIMEOUT_SLACK_MS = 300;
 
     private final SelectorLoop loop;
     private final TimerWheel wheel;
@@ -43,8 +44,8 @@
     private final Oracle oracle;
     private final SplittableRandom random;
     private final double requestsPerSecond;
-    private final Map<Integer, SchedulerLife> lives = new HashMap<>();
-    private final Map<SchedulerLife, List<Client>> clients = new HashMap<>();
+    private final Map<Integer, SchedulerRun> currentRuns = new HashMap<>();
+    private final Map<SchedulerRun, List<Client>> clients = new HashMap<>();
     private boolean sending = true;
     private long sent;
 
@@ -63,76 +64,79 @@
         this.requestsPerSecond = requestsPerSecond;
     }
 
-    /** Begins to send to a scheduler, whichever of its lives is up. */
+    /** Sends requests to a scheduler at random times, to whichever of its processes is current. */
     void startFor(int scheduler) {
         double gap = -Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
         wheel.at(clock.nowMs() + gap, () -> {
             if (sending) {
                 startFor(scheduler);
-                SchedulerLife life = lives.get(scheduler);
-                if (life != null && !life.over()) {
-                    send(life);
+                SchedulerRun schedulerRun = currentRuns.get(scheduler);
+                if (schedulerRun != null && !schedulerRun.hasEnded()) {
+                    send(schedulerRun);
                 }
             }
         });
     }
 
-    /** From now on a scheduler is reached at the front of this life. */
-    void up(SchedulerLife life) {
-        lives.put(life.scheduler, life);
-        clients.put(life, new ArrayList<>());
+    /** Directs new requests for a scheduler to the front of this process. */
+    void onReady(SchedulerRun schedulerRun) {
+        currentRuns.put(schedulerRun.scheduler, schedulerRun);
+        clients.put(schedulerRun, new ArrayList<>());
     }
 
     void stop() {
         sending = false;
     }
 
-    private void send(SchedulerLife life) {
-        List<Client> all = clients.get(life);
-        Client client = all.stream().filter(Client::idle).findFirst().orElse(null);
-        boolean newAllowed = !life.terminated() || clock.nowMs() < life.terminatedAt + NEW_CONNECTIONS_MS;
-        if (client == null && newAllowed && all.size() < MOST_CONNECTIONS) {
-            client = new Client(life);
-            all.add(client);
+    private void send(SchedulerRun schedulerRun) {
+        List<Client> runClients = clients.get(schedulerRun);
+        Client client = runClients.stream().filter(Client::idle).findFirst().orElse(null);
+        boolean newAllowed =
+                !schedulerRun.wasTerminated() || clock.nowMs() < schedulerRun.terminatedAt + NEW_CONNECTIONS_MS;
+        if (client == null && newAllowed && runClients.size() < MAX_CONNECTIONS) {
+            client = new Client(schedulerRun);
+            runClients.add(client);
         }
         if (client != null) {
-            client.request();
+            client.sendRequest();
         }
     }
 
-    /** One connection of a client. */
+    /** One client and its connection. */
     private final class Client implements ConnectionHandler {
-        private final SchedulerLife life;
+        private final SchedulerRun schedulerRun;
         private final Connection connection;
-        private final AnswerReader reader = new AnswerReader(ANSWER_LIMIT);
+        private final AnswerReader reader = new AnswerReader(MAX_ANSWER_BYTES);
         private boolean opened;
-        private boolean over;
+        private boolean closed;
         private boolean used;
         private boolean stalled;
         private RequestRecord request;
         private ByteBuffer[] pieces;
 
-        Client(SchedulerLife life) {
-            this.life = life;
-            connection = loop.dial(life.front, made -> this);
+        Client(SchedulerRun schedulerRun) {
+            this.schedulerRun = schedulerRun;
+            connection = loop.dial(schedulerRun.front, made -> this);
         }
 
         boolean idle() {
-            return opened && !over && !stalled && request == null;
+            return opened && !closed && !stalled && request == null;
         }
 
-        void request() {
+        void sendRequest() {
             double draw = random.nextDouble();
             RequestClass[] classes = RequestClass.values();
-            RequestClass wanted = classes[random.nextInt(classes.length)];
-            double remaining = draw < LITTLE_TIME_PART
+            RequestClass requestClass = classes[random.nextInt(classes.length)];
+            double remaining = draw < VERY_SHORT_DEADLINE_FRACTION
                     ? Math.floor(random.nextDouble() * 50)
-                    : draw < SHORT_TIME_PART ? 200 + Math.floor(random.nextDouble() * 800) : wanted.deadlineMs();
-            request = new RequestRecord("r" + sent++, wanted, life, remaining, !used);
+                    : draw < SHORT_DEADLINE_FRACTION
+                            ? 200 + Math.floor(random.nextDouble() * 800)
+                            : requestClass.deadlineMs();
+            request = new RequestRecord("r" + sent++, requestClass, schedulerRun, remaining, !used);
             used = true;
-            String text = "POST /" + wanted.path() + " HTTP/1.1\r\nHost: s\r\nX-Txn: " + request.id
+            String text = "POST /" + requestClass.path() + " HTTP/1.1\r\nHost: s\r\nX-Txn: " + request.id
                     + "\r\nX-Remaining-Ms: " + (long) remaining + "\r\nContent-Length: 4\r\n\r\nbody";
-            boolean inPieces = random.nextDouble() < PIECES_PART;
+            boolean inPieces = random.nextDouble() < SPLIT_FRACTION;
             int cut = inPieces ? 1 + random.nextInt(text.length() - 1) : 0;
             pieces = new ByteBuffer[] {Answers.ascii(text.substring(0, cut)), Answers.ascii(text.substring(cut))};
             if (opened) {
@@ -149,54 +153,55 @@
         }
 
         private void write() {
-            if (random.nextDouble() < STOPS_PART) {
+            if (random.nextDouble() < STALL_FRACTION) {
                 stopMidway();
                 return;
             }
-            RequestRecord mine = request;
+            RequestRecord current = request;
             connection.write(pieces[0]);
             double gap = pieces[0].hasRemaining() ? random.nextDouble() * 200 : 0;
             if (gap == 0) {
-                writeLast(mine);
+                writeLast(current);
             } else {
-                wheel.at(clock.nowMs() + gap, () -> writeLast(mine));
+                wheel.at(clock.nowMs() + gap, () -> writeLast(current));
             }
         }
 
-        private void writeLast(RequestRecord mine) {
-            if (over || request != mine) {
+        private void writeLast(RequestRecord sentRequest) {
+            if (closed || request != sentRequest) {
                 return;
             }
-            mine.wholeAt = clock.nowMs();
-            oracle.sending(mine);
+            sentRequest.sentAt = clock.nowMs();
+            oracle.requestSent(sentRequest);
             connection.write(pieces[1]);
-            boolean leaves = random.nextDouble() < LEAVES_PART;
-            double patience = leaves ? random.nextDouble() * 500 : mine.remainingMs + 1_000;
-            wheel.at(clock.nowMs() + patience, () -> leave(mine));
+            boolean leaves = random.nextDouble() < LEAVE_FRACTION;
+            double patience = leaves ? random.nextDouble() * 500 : sentRequest.remainingMs + 1_000;
+            wheel.at(clock.nowMs() + patience, () -> leave(sentRequest));
         }
 
-        /** Half a request, and nothing more: answered or closed in time. */
+        /** Sends an incomplete request and checks that the scheduler answers or closes the connection in time. */
         private void stopMidway() {
             connection.write(Answers.ascii("POST /plan HTTP/1.1\r\nHost: s\r\nContent-Len"));
             stalled = true;
             request = null;
             double since = clock.nowMs();
-            wheel.at(since + STALLED_MS + STALLED_SLACK_MS, () -> {
-                if (!over && !life.over()) {
-                    oracle.violated(
-                            Oracle.Rule.STALLED, "a client that stopped midway at " + Math.round(since) + ", " + life);
+            wheel.at(since + STALL_TIMEOUT_MS + STALL_TIMEOUT_SLACK_MS, () -> {
+                if (!closed && !schedulerRun.hasEnded()) {
+                    oracle.recordViolation(
+                            Oracle.Rule.STALLED,
+                            "a client that stopped midway at " + Math.round(since) + ", " + schedulerRun);
                     connection.cut();
-                    over = true;
+                    closed = true;
                 }
             });
         }
 
-        private void leave(RequestRecord mine) {
-            if (!over && request == mine) {
-                mine.leftAt = clock.nowMs();
+        private void leave(RequestRecord abandoned) {
+            if (!closed && request == abandoned) {
+                abandoned.clientLeftAt = clock.nowMs();
                 connection.cut();
-                over = true;
-                clients.get(life).remove(this);
+                closed = true;
+                clients.get(schedulerRun).remove(this);
             }
         }
 
@@ -207,32 +212,32 @@
                     return;
                 }
             } catch (BadMessage e) {
-                oracle.violated(Oracle.Rule.FORGED, "a client got what is no answer: " + e);
+                oracle.recordViolation(Oracle.Rule.FORGED, "a client got what is no answer: " + e);
                 connection.cut();
                 ended();
                 return;
             }
             byte[] body = new byte[reader.body().remaining()];
             reader.body().duplicate().get(body);
-            RequestRecord mine = request;
+            RequestRecord answered = request;
             request = null;
-            boolean keeps = reader.keeps();
-            if (mine != null && !Double.isNaN(mine.wholeAt)) {
-                oracle.answered(mine, reader.status(), new String(body, StandardCharsets.UTF_8), clock.nowMs());
+            boolean keepAlive = reader.keeps();
+            if (answered != null && !Double.isNaN(answered.sentAt)) {
+                oracle.answered(answered, reader.status(), new String(body, StandardCharsets.UTF_8), clock.nowMs());
             }
             reader.next();
-            if (!keeps || stalled) {
+            if (!keepAlive || stalled) {
                 connection.finish();
-                over = true;
-                clients.get(life).remove(this);
+                closed = true;
+                clients.get(schedulerRun).remove(this);
             }
         }
 
         @Override
         public void ended() {
-            over = true;
-            clients.get(life).remove(this);
-            if (request != null && !Double.isNaN(request.wholeAt)) {
+            closed = true;
+            clients.get(schedulerRun).remove(this);
+            if (request != null && !Double.isNaN(request.sentAt)) {
                 request.closedUnansweredAt = clock.nowMs();
             }
             request = null;
--- a/src/main/java/plumpost/lab/soak/SoakDiscovery.java
+++ b/src/main/java/plumpost/lab/soak/SoakDiscovery.java
@@ -22,15 +22,15 @@
 import plumpost.time.TimerWheel;
 
 /**
- * The discovery service of a soak. Each scheduler has an address of its own, so that what was told to whom is known. It can be
- * away, silent or slow, and remembers for each worker when it was told of as leaving.
+ * The discovery service of a soak. Each scheduler has its own address, so it is known which scheduler received which change. It
+ * can be unavailable, unresponsive or slow, and records when each scheduler was notified that a worker leaves.
  */
 final class SoakDiscovery {
     private static final double EMPTY_LINE_MS = 2_000;
-    /** A change counts as told so long after discovery had it and could be reached, whether or not it arrived. */
-    private static final double TOLD_WITHIN_MS = 6_000;
+    /** A change counts as received this long after discovery had it, if discovery was reachable all the time since. */
+    private static final double MAX_PROPAGATION_MS = 6_000;
 
-    private static final int MOST_CALLERS = 1_000;
+    private static final int MAX_CONNECTIONS = 1_000;
     private static final String LEAVING = "drain told";
 
     private final SelectorLoop loop;
@@ -39,18 +39,18 @@
     private final Oracle oracle;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
-    /** When each scheduler was told that a worker leaves, by scheduler and worker. */
-    private final Map<String, Double> toldLeaving = new HashMap<>();
-    /** When discovery had it that a worker leaves. */
-    private final Map<String, Double> hadLeaving = new HashMap<>();
-    /** When an operator's call to take a worker out was acknowledged, by scheduler and worker; none while it is back. */
-    private final Map<String, Double> takenOut = new HashMap<>();
+    /** When each scheduler was notified that a worker leaves, by scheduler and worker. */
+    private final Map<String, Double> notifiedLeavingAt = new HashMap<>();
+    /** When discovery learned that a worker leaves. */
+    private final Map<String, Double> leavingSince = new HashMap<>();
+    /** When an operator's offline call was acknowledged, by scheduler and worker; removed by the online call. */
+    private final Map<String, Double> offlineSince = new HashMap<>();
 
     private long version = 1;
-    private double awayUntil;
+    private double unavailableUntil;
     private double slowUntil;
     private double silentUntil;
-    private double lastAwayAt = Double.NEGATIVE_INFINITY;
+    private double lastUnavailableAt = Double.NEGATIVE_INFINITY;
 
     SoakDiscovery(SelectorLoop loop, TimerWheel wheel, Clock clock, Oracle oracle) {
         this.loop = loop;
@@ -60,20 +60,20 @@
         sendEmptyLines();
     }
 
-    /** The address at which a scheduler reaches discovery. */
+    /** Opens and returns the address at which one scheduler reaches discovery. */
     InetSocketAddress addressFor(int scheduler) throws IOException {
         InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return loop.listen(anywhere, caller -> new Watch(scheduler, caller), MOST_CALLERS, () -> false)
+        return loop.listen(anywhere, caller -> new Watch(scheduler, caller), MAX_CONNECTIONS, () -> false)
                 .address();
     }
 
     void add(Worker worker) {
         workers.put(worker.name(), worker);
-        changed(worker);
+        publishChange(worker);
     }
 
-    /** The list as a configuration's last known one. */
-    String known() {
+    /** Returns the whole list in the form that a settings file has for the last known one. */
+    String wholeList() {
         return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[" + lines() + "]}";
     }
 
@@ -84,81 +84,81 @@
                 .collect(Collectors.joining(","));
     }
 
-    /** Resets all calls and turns new ones away for a while. */
-    void away(double forMs) {
-        awayUntil = Math.max(awayUntil, clock.nowMs() + forMs);
-        lastAwayAt = awayUntil;
+    /** Resets all watches and answers new calls with 503 for a time. */
+    void makeUnavailable(double forMs) {
+        unavailableUntil = Math.max(unavailableUntil, clock.nowMs() + forMs);
+        lastUnavailableAt = unavailableUntil;
         Set.copyOf(watches).forEach(watch -> watch.connection.cut());
         watches.clear();
     }
 
-    /** Open watches fall silent for good; new calls are answered. */
-    void silence() {
+    /** Sends nothing more on the watches that are open; new calls are answered. */
+    void silenceWatches() {
         watches.forEach(watch -> watch.silent = true);
     }
 
-    /** Answers come late for a while. */
-    void slow(double forMs) {
+    /** Delays answers by 1.5 s for a time. */
+    void delayAnswers(double forMs) {
         slowUntil = Math.max(slowUntil, clock.nowMs() + forMs);
     }
 
-    /** Takes calls and says nothing at all for a while. */
+    /** Accepts calls without answering them for a time, and silences the open watches. */
     void mute(double forMs) {
         silentUntil = Math.max(silentUntil, clock.nowMs() + forMs);
-        lastAwayAt = Math.max(lastAwayAt, silentUntil);
-        silence();
+        lastUnavailableAt = Math.max(lastUnavailableAt, silentUntil);
+        silenceWatches();
     }
 
-    /** A worker's line has changed. */
-    void changed(Worker worker) {
+    /** Sends a worker's changed line to all watches. */
+    void publishChange(Worker worker) {
         version++;
         if (!worker.line().contains("\"up\"")) {
-            hadLeaving.putIfAbsent(worker.name(), clock.nowMs());
+            leavingSince.putIfAbsent(worker.name(), clock.nowMs());
         }
         String object = "{\"seq\":" + version + ",\"whole\":false,\"hosts\":[" + worker.line() + "]}\n";
-        watches.forEach(watch -> watch.tell(object));
+        watches.forEach(watch -> watch.send(object));
     }
 
     private void sendEmptyLines() {
-        watches.forEach(watch -> watch.tell("\n"));
+        watches.forEach(watch -> watch.send("\n"));
         wheel.at(clock.nowMs() + EMPTY_LINE_MS, this::sendEmptyLines);
     }
 
-    /** An operator's call was acknowledged. */
-    void operator(int scheduler, String worker, boolean out) {
-        if (out) {
-            takenOut.putIfAbsent(scheduler + " " + worker, clock.nowMs());
+    /** Records that a scheduler acknowledged an operator's call. */
+    void operatorCallAcknowledged(int scheduler, String worker, boolean offline) {
+        if (offline) {
+            offlineSince.putIfAbsent(scheduler + " " + worker, clock.nowMs());
         } else {
-            takenOut.remove(scheduler + " " + worker);
+            offlineSince.remove(scheduler + " " + worker);
         }
     }
 
-    /** Holds a request that arrived at a worker against what its scheduler was told. */
+    /** Checks that a request was not sent to a worker that its scheduler knew to be leaving or offline. */
     void checkSent(RequestRecord request, AttemptRecord attempt) {
-        String key = request.life.scheduler + " " + attempt.worker;
-        Double told = toldLeaving.get(key);
-        Double had = hadLeaving.get(attempt.worker);
-        if (had != null && lastAwayAt < had) { // it could be reached all the time since
-            double latest = Math.max(had, request.life.readyAt) + TOLD_WITHIN_MS;
-            told = told == null ? latest : Math.min(told, latest);
+        String key = request.schedulerRun.scheduler + " " + attempt.worker;
+        Double notifiedAt = notifiedLeavingAt.get(key);
+        Double leavingAt = leavingSince.get(attempt.worker);
+        if (leavingAt != null && lastUnavailableAt < leavingAt) { // discovery was reachable all the time since
+            double latest = Math.max(leavingAt, request.schedulerRun.readyAt) + MAX_PROPAGATION_MS;
+            notifiedAt = notifiedAt == null ? latest : Math.min(notifiedAt, latest);
         }
-        if (told != null) {
-            oracle.attemptOnLeaving(request, attempt, told, LEAVING);
+        if (notifiedAt != null) {
+            oracle.checkSentToLeavingWorker(request, attempt, notifiedAt, LEAVING);
         }
-        Double out = takenOut.get(key);
-        if (out != null) {
-            oracle.attemptOnLeaving(request, attempt, out, "taken out by an operator");
+        Double offlineAt = offlineSince.get(key);
+        if (offlineAt != null) {
+            oracle.checkSentToLeavingWorker(request, attempt, offlineAt, "taken out by an operator");
         }
     }
 
-    /** One call for the list, which stays open as a watch. */
+    /** One call for the list, which stays open as a watch for changes. */
     private final class Watch implements ConnectionHandler {
         private final int scheduler;
         private final Connection connection;
         private final RequestReader reader = new RequestReader(1024);
         private boolean answered;
         private boolean silent;
-        private boolean over;
+        private boolean closed;
 
         Watch(int scheduler, Connection connection) {
             this.scheduler = scheduler;
@@ -168,10 +168,10 @@
         @Override
         public void bytes(ByteBuffer in) {
             double now = clock.nowMs();
-            if (now < awayUntil) {
+            if (now < unavailableUntil) {
                 connection.write(Answers.ascii("HTTP/1.1 503 Away\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
                 connection.finish();
-                over = true;
+                closed = true;
                 return;
             }
             try {
@@ -179,39 +179,39 @@
                     wheel.at(now + (now < slowUntil ? 1_500 : 0), this::answer);
                 }
             } catch (BadMessage e) {
-                oracle.violated(Oracle.Rule.FORGED, "a scheduler sent discovery what is no request: " + e);
+                oracle.recordViolation(Oracle.Rule.FORGED, "a scheduler sent discovery what is no request: " + e);
             }
         }
 
         private void answer() {
-            if (over || answered) {
+            if (closed || answered) {
                 return;
             }
             answered = true;
             watches.add(this);
             connection.write(Answers.ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-            tell(known() + "\n");
-            hadLeaving.keySet().forEach(this::toldOf);
+            send(wholeList() + "\n");
+            leavingSince.keySet().forEach(this::recordNotified);
         }
 
-        private void tell(String text) {
-            if (!answered || silent || over) {
+        private void send(String text) {
+            if (!answered || silent || closed) {
                 return;
             }
             connection.write(Answers.ascii(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
             workers.values().stream()
                     .filter(worker ->
-                            text.contains("\"" + worker.name() + "\"") && hadLeaving.containsKey(worker.name()))
-                    .forEach(worker -> toldOf(worker.name()));
+                            text.contains("\"" + worker.name() + "\"") && leavingSince.containsKey(worker.name()))
+                    .forEach(worker -> recordNotified(worker.name()));
         }
 
-        private void toldOf(String worker) {
-            toldLeaving.putIfAbsent(scheduler + " " + worker, clock.nowMs());
+        private void recordNotified(String worker) {
+            notifiedLeavingAt.putIfAbsent(scheduler + " " + worker, clock.nowMs());
         }
 
         @Override
         public void ended() {
-            over = true;
+            closed = true;
             watches.remove(this);
         }
     }
--- a/src/main/java/plumpost/lab/soak/SoakMain.java
+++ b/src/main/java/plumpost/lab/soak/SoakMain.java
@@ -12,14 +12,14 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command {@code lab soak}: fault soaks with one seed after another; 1 where any rule was broken. */
+/** The command {@code lab soak}: runs fault soaks with consecutive seeds. */
 public final class SoakMain {
     private static final String USAGE = "plumpost lab soak [options]";
-    private static final int MOST_SCHEDULERS = 40;
+    private static final int MAX_SCHEDULERS = 40;
 
     private SoakMain() {}
 
-    /** Plays the soaks that the arguments ask for and tells of each on {@code out}. */
+    /** Runs the requested soaks and reports on {@code out}; returns 1 if any rule was broken, 2 for bad arguments. */
     public static int run(String[] args, PrintStream out, PrintStream err) throws IOException {
         Options options = new Options();
         options.addOption(null, "seed", true, "first seed (1)");
@@ -31,7 +31,7 @@
         options.addOption(null, "faults", true, "faults that begin in a second (2)");
         options.addOption(null, "program", true, "jar of the release under test (this one)");
         options.addOption(null, "kinds", true, "kinds of faults, with commas between (all)");
-        options.addOption("h", "help", false, "tells these options");
+        options.addOption("h", "help", false, "prints these options");
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
@@ -44,7 +44,7 @@
             for (long seed = first; seed < first + seeds; seed++) {
                 SoakPlan plan = new SoakPlan(
                         seed,
-                        (int) number(line, "processes", 10, 1, MOST_SCHEDULERS),
+                        (int) number(line, "processes", 10, 1, MAX_SCHEDULERS),
                         (int) number(line, "workers", 20, 2, 500),
                         (int) number(line, "seconds", 30, 5, 86_400),
                         number(line, "rate", 15, 1, 1_000),
@@ -84,11 +84,11 @@
         return kinds;
     }
 
-    private static long number(CommandLine line, String option, long otherwise, long least, long most)
+    private static long number(CommandLine line, String option, long defaultValue, long min, long max)
             throws ParseException {
-        String given = line.getOptionValue(option, Long.toString(otherwise));
-        if (!given.matches("[0-9]{1,9}") || Long.parseLong(given) < least || Long.parseLong(given) > most) {
-            throw new ParseException("--" + option + " is " + given + ", not from " + least + " to " + most);
+        String given = line.getOptionValue(option, Long.toString(defaultValue));
+        if (!given.matches("[0-9]{1,9}") || Long.parseLong(given) < min || Long.parseLong(given) > max) {
+            throw new ParseException("--" + option + " is " + given + ", not from " + min + " to " + max);
         }
         return Long.parseLong(given);
     }
--- a/src/main/java/plumpost/lab/soak/SoakPlan.java
+++ b/src/main/java/plumpost/lab/soak/SoakPlan.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * The size of one soak.
+ * The parameters of one soak.
  *
- * @param seed of all draws
- * @param schedulers real scheduler processes
- * @param workers emulated workers at the start
- * @param seconds how long clients send
- * @param requestsPerSecond for each scheduler, in the mean
- * @param faultsPerSecond how often a fault begins, anywhere; each lasts seconds, so that many overlap
- * @param kinds the kinds of faults that are played
+ * @param seed seed of all random draws
+ * @param schedulers number of real scheduler processes
+ * @param workers number of emulated workers at the start
+ * @param seconds how long clients send requests
+ * @param requestsPerSecond mean rate of requests for each scheduler
+ * @param faultsPerSecond mean rate at which faults begin in the whole fleet; each can last seconds, so that many overlap
+ * @param kinds the kinds of faults to inject
  * @param program the class path of the program under test
  */
 public record SoakPlan(
--- a/src/main/java/plumpost/lab/soak/SoakRun.java
+++ b/src/main/java/plumpost/lab/soak/SoakRun.java
@@ -22,92 +22,93 @@
 import plumpost.time.TimerWheel;
 
 /**
- * A randomized fault soak: real scheduler processes between emulated clients, workers and discovery, faults of many kinds that
- * overlap in time, and the users' rules as the oracle. One seed gives one schedule of faults; what crosses is up to the machine.
+ * A randomized fault soak: real scheduler processes with emulated clients, workers and discovery, overlapping faults of many
+ * kinds, and an oracle that checks the users' rules. A seed fixes the schedule of faults, but not how they interleave with the
+ * requests, which depends on the machine.
  */
 public final class SoakRun implements SchedulerSlot.Events, AutoCloseable {
     private static final double HOUR_MS = 3_600_000;
-    /** The terms' hold-up. */
+    /** The longest hold-up of a process that the terms allow. */
     private static final long HOLD_UP_MS = 150;
 
-    private static final double JUDGE_MS = 200;
+    private static final double JUDGE_INTERVAL_MS = 200;
     private static final long SETTLE_MS = 9_000;
     private static final int FAULT_THREADS = 16;
-    /** Violations of one rule that are told in full. */
-    private static final int MOST_TOLD = 5;
+    /** Violations of one rule that are printed in full. */
+    private static final int MAX_REPORTED_PER_RULE = 5;
 
     private static final double DRAIN_MS = 4_000;
-    private static final double LONGEST_FAULT_MS = 6_000;
+    private static final double MAX_FAULT_MS = 6_000;
 
-    /** One fault of the schedule: all that is random of it. */
+    /** One fault of the schedule with all its random parameters. */
     private record Fault(long atMs, FaultKind kind, int target, double size, double length, boolean direction) {}
 
     private final SoakPlan plan;
     private final PrintStream out;
-    private final LoopThread player = new LoopThread("soak player");
-    private final Oracle oracle = new Oracle(player::recentLagMs);
+    private final LoopThread labLoop = new LoopThread("soak loop");
+    private final Oracle oracle = new Oracle(labLoop::recentLagMs);
     private final SoakDiscovery discovery;
     private final SoakWorkers workers;
     private final SoakClients clients;
     private final List<SchedulerSlot> slots = new ArrayList<>();
     private final ScheduledExecutorService faults = Executors.newScheduledThreadPool(FAULT_THREADS);
     private final Path folder = Files.createTempDirectory("plumpost-soak");
-    /** The faults in the order in which they began, with the player's time. */
-    private final List<String> played = new CopyOnWriteArrayList<>();
+    /** The faults in the order in which they began, each with the time of the laboratory's clock. */
+    private final List<String> startedFaults = new CopyOnWriteArrayList<>();
 
-    /** A soak by a plan; what happens is told on {@code out}. */
+    /** Creates a soak for a plan; the report is printed on {@code out}. */
     public SoakRun(SoakPlan plan, PrintStream out) throws IOException {
         this.plan = plan;
         this.out = out;
         SplittableRandom random = new SplittableRandom(plan.seed());
-        SelectorLoop loop = player.loop();
-        TimerWheel wheel = player.wheel();
-        SystemClock clock = player.clock();
+        SelectorLoop loop = labLoop.loop();
+        TimerWheel wheel = labLoop.wheel();
+        SystemClock clock = labLoop.clock();
         discovery = new SoakDiscovery(loop, wheel, clock, oracle);
         workers = new SoakWorkers(loop, wheel, clock, oracle, discovery, random.split());
         clients = new SoakClients(loop, wheel, clock, oracle, random.split(), plan.requestsPerSecond());
         for (int i = 0; i < plan.workers(); i++) {
             discovery.add(workers.start(0));
         }
-        judge();
+        judgePeriodically();
     }
 
-    private void judge() {
-        player.wheel().at(nowMs() + JUDGE_MS, () -> {
-            judge();
+    private void judgePeriodically() {
+        labLoop.wheel().at(nowMs() + JUDGE_INTERVAL_MS, () -> {
+            judgePeriodically();
             oracle.judge(nowMs());
         });
     }
 
-    /** Plays the whole soak; the violations by rule. */
+    /** Runs the whole soak and returns the violations by rule. */
     public Map<Oracle.Rule, List<String>> run() throws IOException, InterruptedException {
-        player.start();
+        labLoop.start();
         for (int i = 0; i < plan.schedulers(); i++) {
             int index = i;
-            String address = "127.0.0.1:" + player.on(() -> address(index));
+            String address = "127.0.0.1:" + labLoop.on(() -> discoveryPort(index));
             slots.add(new SchedulerSlot(i, plan, address, folder.resolve("s" + i), this));
         }
         for (SchedulerSlot slot : slots) {
             slot.start();
         }
-        player.run(() -> slots.forEach(slot -> clients.startFor(slot.life().scheduler)));
+        labLoop.run(() -> slots.forEach(slot -> clients.startFor(slot.currentRun().scheduler)));
         for (Fault fault : schedule()) {
             faults.schedule(() -> begin(fault), fault.atMs, TimeUnit.MILLISECONDS);
         }
         Thread.sleep(plan.seconds() * 1_000L);
-        player.run(clients::stop);
+        labLoop.run(clients::stop);
         Thread.sleep(SETTLE_MS);
         faults.shutdown();
         faults.awaitTermination(30, TimeUnit.SECONDS);
-        player.run(() -> {
+        labLoop.run(() -> {
             oracle.judge(nowMs());
             oracle.judgeAll();
         });
-        tell();
+        printReport();
         return oracle.violations();
     }
 
-    private int address(int index) {
+    private int discoveryPort(int index) {
         try {
             return discovery.addressFor(index).getPort();
         } catch (IOException e) {
@@ -115,20 +116,20 @@
         }
     }
 
-    private void tell() {
+    private void printReport() {
         long injected =
                 slots.stream().mapToLong(slot -> slot.faults().injected()).sum();
         long heldUp = slots.stream().mapToLong(slot -> slot.faults().heldUp()).sum();
         out.printf(
                 "seed %d: %s, calls failed %d, held up %d times, player late by up to %.0f ms%n",
-                plan.seed(), oracle.counts(), injected, heldUp, player.worstLagMs());
+                plan.seed(), oracle.counts(), injected, heldUp, labLoop.worstLagMs());
         oracle.violations().forEach((rule, details) -> {
             out.println("  " + rule + ": " + details.size());
-            details.stream().limit(MOST_TOLD).forEach(detail -> out.println("    " + detail));
+            details.stream().limit(MAX_REPORTED_PER_RULE).forEach(detail -> out.println("    " + detail));
         });
         if (!oracle.violations().isEmpty()) {
             out.println("  faults as they began:");
-            played.forEach(fault -> out.println("    " + fault));
+            startedFaults.forEach(fault -> out.println("    " + fault));
         }
     }
 
@@ -136,26 +137,26 @@
 
     private List<Fault> schedule() {
         SplittableRandom random = new SplittableRandom(plan.seed() * 31 + 7);
-        List<Fault> all = new ArrayList<>();
+        List<Fault> schedule = new ArrayList<>();
         double lastMs = plan.seconds() * 1_000.0 - 1_000;
         for (double at = 500; at < lastMs; at += -Math.log(1 - random.nextDouble()) * 1_000 / plan.faultsPerSecond()) {
-            all.add(new Fault(
+            schedule.add(new Fault(
                     (long) at,
-                    FaultKind.at(random.nextDouble(), plan.kinds()),
+                    FaultKind.pickByWeight(random.nextDouble(), plan.kinds()),
                     random.nextInt(plan.schedulers()),
                     random.nextDouble(),
-                    500 + random.nextDouble() * (LONGEST_FAULT_MS - 500),
+                    500 + random.nextDouble() * (MAX_FAULT_MS - 500),
                     random.nextBoolean()));
         }
-        return all;
+        return schedule;
     }
 
     private void begin(Fault fault) {
-        played.add(Math.round(player.clock().nowMs()) + " " + fault);
+        startedFaults.add(Math.round(labLoop.clock().nowMs()) + " " + fault);
         try {
-            play(fault);
+            inject(fault);
         } catch (IOException e) {
-            violated(Oracle.Rule.CRASH, "while playing " + fault + ": " + e);
+            recordViolation(Oracle.Rule.CRASH, "while playing " + fault + ": " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException e) {
@@ -163,23 +164,23 @@
         }
     }
 
-    private void play(Fault fault) throws IOException, InterruptedException {
+    private void inject(Fault fault) throws IOException, InterruptedException {
         SchedulerSlot slot = slots.get(fault.target);
-        FaultLibrary system = slot.faults();
+        FaultLibrary library = slot.faults();
         long pause = (long) (100 + fault.size * 900);
         switch (fault.kind) {
             case RESTART -> slot.restart(pause);
             case KILL -> slot.kill(pause);
-            case SUSPENSIONS -> slot.suspendAgainAndAgain(HOLD_UP_MS, pause / 2, (long) fault.length);
+            case SUSPENSIONS -> slot.suspendRepeatedly(HOLD_UP_MS, pause / 2, (long) fault.length);
             case HOLD_UPS -> slot.holdUp(HOLD_UP_MS, 100 + fault.size * 300, (long) fault.length);
             case WALL_CLOCK_STEP -> {
                 double step = fault.size < 0.5 ? HOUR_MS : fault.size * 8_000;
-                system.stepWallClock(fault.direction ? step : -step);
+                library.stepWallClock(fault.direction ? step : -step);
             }
             case FAILING_CALLS -> {
-                system.failCalls(0.05 + fault.size * 0.25);
+                library.failCalls(0.05 + fault.size * 0.25);
                 Thread.sleep((long) fault.length);
-                system.failCalls(0);
+                library.failCalls(0);
             }
             case BREAKING_CONNECTIONS -> {
                 slot.breakConnections(0.002 + fault.size * 0.01);
@@ -188,44 +189,45 @@
             }
             case FAILING_DISK -> {
                 FaultLibrary.DiskError[] errors = FaultLibrary.DiskError.values();
-                system.failDisk(errors[1 + (int) (fault.size * (errors.length - 1))], fault.direction ? 1 : 0.5);
+                library.failDisk(errors[1 + (int) (fault.size * (errors.length - 1))], fault.direction ? 1 : 0.5);
                 Thread.sleep((long) fault.length);
-                system.failDisk(FaultLibrary.DiskError.NONE, 0);
+                library.failDisk(FaultLibrary.DiskError.NONE, 0);
             }
             case RELOADS -> slot.reload(fault.size);
             case OPERATOR_CALLS -> operatorCalls(slot, fault);
-            case DISCOVERY -> change(() -> disturbDiscovery(fault));
-            default -> change(() -> disturbWorkers(fault));
+            case DISCOVERY -> runOnLoop(() -> disturbDiscovery(fault));
+            default -> runOnLoop(() -> disturbWorkers(fault));
         }
     }
 
     private void operatorCalls(SchedulerSlot slot, Fault fault) throws InterruptedException {
-        String worker = player.on(() -> {
-            List<Worker> up = workers.up();
+        String worker = labLoop.on(() -> {
+            List<Worker> up = workers.serving();
             return up.get((int) (fault.size * up.size())).name();
         });
-        int scheduler = slot.life().scheduler;
-        if (slot.operator(worker, true)) {
-            change(() -> discovery.operator(scheduler, worker, true));
+        int scheduler = slot.currentRun().scheduler;
+        if (slot.callOperator(worker, true)) {
+            runOnLoop(() -> discovery.operatorCallAcknowledged(scheduler, worker, true));
         }
         Thread.sleep((long) fault.length);
-        change(() -> discovery.operator(scheduler, worker, false)); // from here on either is right
-        for (int tries = 0; tries < 20 && !slot.operator(worker, false); tries++) {
+        runOnLoop(() ->
+                discovery.operatorCallAcknowledged(scheduler, worker, false)); // from here on both states are allowed
+        for (int attempts = 0; attempts < 20 && !slot.callOperator(worker, false); attempts++) {
             Thread.sleep(500);
         }
     }
 
     private void disturbDiscovery(Fault fault) {
         switch ((int) (fault.size * 4)) {
-            case 0 -> discovery.away(fault.length);
+            case 0 -> discovery.makeUnavailable(fault.length);
             case 1 -> discovery.mute(fault.length);
-            case 2 -> discovery.slow(fault.length);
-            default -> discovery.silence();
+            case 2 -> discovery.delayAnswers(fault.length);
+            default -> discovery.silenceWatches();
         }
     }
 
     private void disturbWorkers(Fault fault) {
-        List<Worker> up = new ArrayList<>(workers.up());
+        List<Worker> up = new ArrayList<>(workers.serving());
         int count = Math.max(1, (int) (up.size() * (fault.size * 0.4)));
         int first = (int) (fault.size * up.size());
         for (int i = 0; i < count; i++) {
@@ -252,37 +254,37 @@
 
     private void replace() {
         try {
-            discovery.add(workers.start((long) player.clock().nowMs()));
+            discovery.add(workers.start((long) labLoop.clock().nowMs()));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    // ---- the player's thread ----
+    // ---- calls that run on the laboratory's loop ----
 
     @Override
     public String knownWorkers() throws InterruptedException {
-        return player.on(discovery::known);
+        return labLoop.on(discovery::wholeList);
     }
 
     @Override
-    public void up(SchedulerLife life) throws InterruptedException {
-        change(() -> clients.up(life));
+    public void onReady(SchedulerRun schedulerRun) throws InterruptedException {
+        runOnLoop(() -> clients.onReady(schedulerRun));
     }
 
     @Override
-    public void change(Runnable what) throws InterruptedException {
-        player.run(what);
+    public void runOnLoop(Runnable action) throws InterruptedException {
+        labLoop.run(action);
     }
 
     @Override
-    public void violated(Oracle.Rule rule, String detail) {
-        player.later(() -> oracle.violated(rule, detail));
+    public void recordViolation(Oracle.Rule rule, String detail) {
+        labLoop.later(() -> oracle.recordViolation(rule, detail));
     }
 
     @Override
     public double nowMs() {
-        return player.clock().nowMs();
+        return labLoop.clock().nowMs();
     }
 
     @Override
@@ -291,7 +293,7 @@
         for (SchedulerSlot slot : slots) {
             slot.close();
         }
-        player.close();
+        labLoop.close();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
--- a/src/main/java/plumpost/lab/soak/SoakWorkers.java
+++ b/src/main/java/plumpost/lab/soak/SoakWorkers.java
@@ -20,16 +20,16 @@
 import plumpost.time.Clock;
 import plumpost.time.TimerWheel;
 
-/** The workers of a soak: they serve, fail, turn away and misbehave as the schedule of faults wants, and tell the oracle. */
+/** The emulated workers of a soak: they serve, fail and reject requests, inject scheduled faults and report to the oracle. */
 final class SoakWorkers {
-    /** Parts of requests that end otherwise than served, at every time. */
-    private static final double TURNED_AWAY_PART = 0.02;
+    /** The fraction of requests that are rejected at all times, also without a fault. */
+    private static final double TURNED_AWAY_FRACTION = 0.02;
 
-    private static final double RETURNED_PART = 0.01;
-    private static final double FAILED_PART = 0.01;
-    private static final double SERVICE_MS = 60;
-    private static final int BODY_LIMIT = 64 * 1024;
-    private static final int MOST_CONNECTIONS = 10_000;
+    private static final double RETURNED_FRACTION = 0.01;
+    private static final double FAILED_FRACTION = 0.01;
+    private static final double MEAN_SERVICE_MS = 60;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_CONNECTIONS = 10_000;
     private static final String STATS = "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\ninflight=0,queue=0,x0=4";
 
     private final SelectorLoop loop;
@@ -38,8 +38,8 @@
     private final Oracle oracle;
     private final SoakDiscovery discovery;
     private final SplittableRandom random;
-    private final List<Worker> all = new ArrayList<>();
-    private int named;
+    private final List<Worker> workers = new ArrayList<>();
+    private int nextNumber;
 
     SoakWorkers(
             SelectorLoop loop,
@@ -56,25 +56,25 @@
         this.random = random;
     }
 
-    /** Starts a worker; {@code bornMs} is the Unix time that the list tells, 0 for long ago. */
+    /** Starts a worker; {@code bornMs} is its start as Unix time in the list, 0 for long ago. */
     Worker start(long bornMs) throws IOException {
-        Worker worker = new Worker("w" + named++, bornMs);
-        all.add(worker);
+        Worker worker = new Worker("w" + nextNumber++, bornMs);
+        workers.add(worker);
         return worker;
     }
 
-    /** The workers that serve and do not drain. */
-    List<Worker> up() {
-        return all.stream().filter(worker -> worker.state.equals("up")).toList();
+    /** Returns the workers that are neither draining nor removed. */
+    List<Worker> serving() {
+        return workers.stream().filter(worker -> worker.state.equals("up")).toList();
     }
 
-    /** One worker at an address of its own. */
+    /** One worker with its own address. */
     final class Worker {
         private final String name;
         private final long bornMs;
         private final SelectorLoop.Listener listener;
         private final InetSocketAddress address;
-        private final Set<Served> connections = new LinkedHashSet<>();
+        private final Set<WorkerConnection> connections = new LinkedHashSet<>();
         private String state = "up";
         private double hangsUntil;
         private double resetsUntil;
@@ -83,7 +83,8 @@
             this.name = name;
             this.bornMs = bornMs;
             InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            listener = loop.listen(anywhere, connection -> new Served(this, connection), MOST_CONNECTIONS, () -> false);
+            listener = loop.listen(
+                    anywhere, connection -> new WorkerConnection(this, connection), MAX_CONNECTIONS, () -> false);
             address = listener.address();
         }
 
@@ -91,7 +92,7 @@
             return name;
         }
 
-        /** Its line of the list. */
+        /** Returns this worker's line of the list. */
         String line() {
             return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + address.getPort()
                     + "\",\"site\":\"p\",\"class\":\"k\",\"block\":0,\"health\":\"" + state
@@ -103,54 +104,54 @@
             return !state.equals("removed");
         }
 
-        /** Takes requests and ends none of them, for a while. */
+        /** Accepts requests without completing them for a time. */
         void hang(double forMs) {
             hangsUntil = clock.nowMs() + forMs;
         }
 
-        /** Resets some connections under their requests, and closes some that idle, for a while. */
+        /** Resets some connections while they carry a request, for a time. */
         void reset(double forMs) {
             resetsUntil = clock.nowMs() + forMs;
         }
 
-        /** Closes its idle connections at this moment. */
+        /** Cuts the connections that are idle now. */
         void closeIdle() {
             List.copyOf(connections).stream()
                     .filter(each -> each.attempt == null)
-                    .forEach(Served::cut);
+                    .forEach(WorkerConnection::cut);
         }
 
-        /** Begins to drain: what it has it still ends; it is gone {@code goneAfterMs} later. */
+        /** Begins to drain: requests in progress are completed, and the list drops the worker {@code goneAfterMs} later. */
         void drain(double goneAfterMs) {
             state = "draining";
-            discovery.changed(this);
+            discovery.publishChange(this);
             wheel.at(clock.nowMs() + goneAfterMs, () -> {
                 state = "removed";
-                discovery.changed(this);
+                discovery.publishChange(this);
             });
         }
 
-        /** Dies: its connections are reset and new ones refused; the list tells some time later. */
+        /** Crashes: resets its connections and refuses new ones; the list drops it {@code toldAfterMs} later. */
         void crash(double toldAfterMs) {
             listener.close();
-            List.copyOf(connections).forEach(Served::cut);
+            List.copyOf(connections).forEach(WorkerConnection::cut);
             wheel.at(clock.nowMs() + toldAfterMs, () -> {
                 state = "removed";
-                discovery.changed(this);
+                discovery.publishChange(this);
             });
         }
     }
 
-    /** One connection to a worker. */
-    private final class Served implements ConnectionHandler {
+    /** One connection from a scheduler to a worker. */
+    private final class WorkerConnection implements ConnectionHandler {
         private final Worker worker;
         private final Connection connection;
-        private final RequestReader reader = new RequestReader(BODY_LIMIT);
+        private final RequestReader reader = new RequestReader(MAX_BODY_BYTES);
         private AttemptRecord attempt;
         private double firstByteAt = Double.NaN;
-        private boolean over;
+        private boolean closed;
 
-        Served(Worker worker, Connection connection) {
+        WorkerConnection(Worker worker, Connection connection) {
             this.worker = worker;
             this.connection = connection;
             worker.connections.add(this);
@@ -159,49 +160,50 @@
         @Override
         public void bytes(ByteBuffer in) {
             try {
-                while (!over && in.hasRemaining()) {
+                while (!closed && in.hasRemaining()) {
                     firstByteAt = Double.isNaN(firstByteAt) ? clock.nowMs() : firstByteAt;
                     if (reader.feed(in)) {
-                        request();
+                        handleRequest();
                         reader.next();
                         firstByteAt = Double.NaN;
                     }
                 }
             } catch (BadMessage e) {
-                oracle.violated(Oracle.Rule.FORGED, "a scheduler sent " + worker.name + " what is no request: " + e);
+                oracle.recordViolation(
+                        Oracle.Rule.FORGED, "a scheduler sent " + worker.name + " what is no request: " + e);
                 cut();
             }
         }
 
-        private void request() {
+        private void handleRequest() {
             if (!reader.method().equals("POST")) {
                 connection.write(Answers.ascii(STATS));
                 return;
             }
-            RequestRecord request = oracle.request(reader.head().field("X-Txn"));
+            RequestRecord request = oracle.findRequest(reader.head().field("X-Txn"));
             if (request == null) {
-                oracle.violated(Oracle.Rule.FORGED, worker.name + " got an id that no client sent lately");
+                oracle.recordViolation(Oracle.Rule.FORGED, worker.name + " got an id that no client sent lately");
                 cut();
                 return;
             }
-            AttemptRecord began = new AttemptRecord(worker.name, firstByteAt);
-            attempt = began;
-            oracle.attemptBegan(request, began);
-            oracle.attemptWhole(
-                    request, began, Double.parseDouble(reader.head().field("X-Remaining-Ms")), clock.nowMs());
-            discovery.checkSent(request, began);
-            serve(request, began);
+            AttemptRecord received = new AttemptRecord(worker.name, firstByteAt);
+            attempt = received;
+            oracle.attemptBegan(request, received);
+            oracle.attemptReceived(
+                    request, received, Double.parseDouble(reader.head().field("X-Remaining-Ms")), clock.nowMs());
+            discovery.checkSent(request, received);
+            serve(request, received);
         }
 
-        private void serve(RequestRecord request, AttemptRecord began) {
+        private void serve(RequestRecord request, AttemptRecord served) {
             double draw = random.nextDouble();
             if (clock.nowMs() < worker.resetsUntil && draw < 0.3) {
                 wheel.at(clock.nowMs() + random.nextDouble() * 40, this::cut);
                 return;
             }
-            if (draw > 1 - TURNED_AWAY_PART) {
+            if (draw > 1 - TURNED_AWAY_FRACTION) {
                 end(
-                        began,
+                        served,
                         AttemptEnd.TURNED_AWAY,
                         "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
                 return;
@@ -211,27 +213,27 @@
             if (clock.nowMs() < worker.hangsUntil) {
                 return;
             }
-            double serviceMs = -Math.log(1 - random.nextDouble()) * SERVICE_MS;
+            double serviceMs = -Math.log(1 - random.nextDouble()) * MEAN_SERVICE_MS;
             wheel.at(clock.nowMs() + serviceMs, () -> {
-                if (attempt != began) {
+                if (attempt != served) {
                     return;
                 }
-                if (draw < RETURNED_PART) {
-                    end(began, AttemptEnd.TURNED_AWAY, chunk(request, "\"state\":\"returned\"") + "0\r\n\r\n");
-                } else if (draw < RETURNED_PART + FAILED_PART) {
-                    end(began, AttemptEnd.FAILED, chunk(request, "\"state\":\"failed\"") + "0\r\n\r\n");
+                if (draw < RETURNED_FRACTION) {
+                    end(served, AttemptEnd.TURNED_AWAY, chunk(request, "\"state\":\"returned\"") + "0\r\n\r\n");
+                } else if (draw < RETURNED_FRACTION + FAILED_FRACTION) {
+                    end(served, AttemptEnd.FAILED, chunk(request, "\"state\":\"failed\"") + "0\r\n\r\n");
                 } else {
                     String done = "\"state\":\"done\",\"result\":\"result-" + request.id + "\"";
-                    end(began, AttemptEnd.SERVED, chunk(request, done) + "0\r\n\r\n");
+                    end(served, AttemptEnd.SERVED, chunk(request, done) + "0\r\n\r\n");
                 }
             });
         }
 
-        private void end(AttemptRecord ended, AttemptEnd how, String words) {
-            if (attempt == ended && !over) {
-                oracle.attemptEnded(ended, how, clock.nowMs());
+        private void end(AttemptRecord ended, AttemptEnd attemptEnd, String response) {
+            if (attempt == ended && !closed) {
+                oracle.attemptEnded(ended, attemptEnd, clock.nowMs());
                 attempt = null;
-                connection.write(Answers.ascii(words));
+                connection.write(Answers.ascii(response));
             }
         }
 
@@ -241,7 +243,7 @@
         }
 
         private void cut() {
-            if (!over) {
+            if (!closed) {
                 connection.cut();
                 ended();
             }
@@ -249,7 +251,7 @@
 
         @Override
         public void ended() {
-            over = true;
+            closed = true;
             worker.connections.remove(this);
             if (attempt != null) {
                 oracle.attemptEnded(attempt, AttemptEnd.CONNECTION_ENDED, clock.nowMs());
--- a/src/test/java/plumpost/lab/soak/SoakIT.java
+++ b/src/test/java/plumpost/lab/soak/SoakIT.java
@@ -12,26 +12,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Short soaks with real processes; {@code make soak} plays many seeds of long ones. */
+/** Short soaks with real processes; {@code make soak} runs long ones with many seeds. */
 class SoakIT {
     private static void play(long seed, int processes, int seconds, double faults, Set<FaultKind> kinds)
             throws Exception {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
+        ByteArrayOutputStream report = new ByteArrayOutputStream();
         SoakPlan plan =
                 new SoakPlan(seed, processes, 16, seconds, 15, faults, kinds, System.getProperty("java.class.path"));
-        try (SoakRun run = new SoakRun(plan, new PrintStream(told, true, StandardCharsets.UTF_8))) {
-            assertThat(run.run()).as(told.toString(StandardCharsets.UTF_8)).isEmpty();
+        try (SoakRun run = new SoakRun(plan, new PrintStream(report, true, StandardCharsets.UTF_8))) {
+            assertThat(run.run()).as(report.toString(StandardCharsets.UTF_8)).isEmpty();
         }
     }
 
-    /** Guards connections against calls that fail in passing: an interrupted read is no end of its connection. */
+    /** A transient failure of a call, such as an interrupted read, must not end the connection. */
     @Test
     @Timeout(120)
     void callsThatFailInPassingCostNoRequest() throws Exception {
         play(1, 3, 12, 1.5, EnumSet.of(FaultKind.FAILING_CALLS));
     }
 
-    /** Guards restarts under clocks that step and processes that are held up: the incident, in a fleet. */
+    /** Restarts while clocks step, processes are held up and workers hang, as in the incident, in a fleet. */
     @Test
     @Timeout(120)
     void restartsUnderStepsAndHoldUps() throws Exception {
@@ -48,7 +48,7 @@
                         FaultKind.HANGING_WORKERS));
     }
 
-    /** Guards everything at once. */
+    /** All kinds of faults, overlapping. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12})
     @Timeout(180)
