--- a/src/main/java/plumpost/lab/gearman/Audit.java
+++ b/src/main/java/plumpost/lab/gearman/Audit.java
@@ -5,71 +5,71 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a run has to answer for: how often each job was begun, and how many final answers each submit got. */
+/** Checks a run's rules: counts how often each job was begun and how many final answers its submits got. Thread-safe. */
 final class Audit {
-    private static final int EXAMPLES = 20;
+    private static final int MAX_EXAMPLES = 20;
 
     private final byte[] begun;
-    private final byte[] wanted;
+    private final byte[] expectedFinals;
     private final byte[] finals;
     private final Map<String, Integer> counts = new TreeMap<>();
     private final List<String> examples = new ArrayList<>();
 
     Audit(int jobs) {
         begun = new byte[jobs];
-        wanted = new byte[jobs];
+        expectedFinals = new byte[jobs];
         finals = new byte[jobs];
     }
 
-    synchronized void count(String what) {
-        counts.merge(what, 1, Integer::sum);
+    synchronized void count(String name) {
+        counts.merge(name, 1, Integer::sum);
     }
 
-    /** The most of a figure. */
-    synchronized void most(String what, double value) {
-        counts.merge(what, (int) Math.ceil(value), Math::max);
+    /** Records a value of which the maximum is reported. */
+    synchronized void recordMax(String name, double value) {
+        counts.merge(name, (int) Math.ceil(value), Math::max);
     }
 
-    /** A worker was given the job; true the first time. */
-    synchronized boolean begun(Work w) {
-        if (w.number() >= 0 && w.number() < begun.length && begun[w.number()] < 100) {
-            begun[w.number()]++;
-            if (w.order() && begun[w.number()] > 1) {
-                broken("order begun twice", w.number());
+    /** Records that a worker was given the job; returns whether this was the first time. */
+    synchronized boolean jobBegun(JobPayload payload) {
+        if (payload.number() >= 0 && payload.number() < begun.length && begun[payload.number()] < 100) {
+            begun[payload.number()]++;
+            if (payload.order() && begun[payload.number()] > 1) {
+                recordBroken("order begun twice", payload.number());
             }
-            return begun[w.number()] == 1;
+            return begun[payload.number()] == 1;
         }
         return false;
     }
 
-    /** A client waits for the job, once for each submit that the server has taken. */
-    synchronized void waits(int number) {
-        wanted[number]++;
+    /** Expects one more final answer for the job, once for each submit that is sent. */
+    synchronized void clientWaits(int number) {
+        expectedFinals[number]++;
     }
 
-    /** A client that waited has gone, and is owed nothing. */
-    synchronized void gone(int number) {
-        wanted[number]--;
+    /** Expects one final answer less, because a client that waited has disconnected. */
+    synchronized void clientGone(int number) {
+        expectedFinals[number]--;
     }
 
     synchronized void finalAnswer(int number) {
         finals[number]++;
     }
 
-    synchronized void broken(String rule, int number) {
+    synchronized void recordBroken(String rule, int number) {
         counts.merge("broken: " + rule, 1, Integer::sum);
-        if (examples.size() < EXAMPLES) {
+        if (examples.size() < MAX_EXAMPLES) {
             examples.add(rule + ": job " + number);
         }
     }
 
-    /** Holds what was wanted against what came; then all that is broken is counted. */
-    synchronized void close() {
+    /** Compares expected and received final answers at the end of the run and records the differences. */
+    synchronized void checkFinalAnswers() {
         for (int i = 0; i < finals.length; i++) {
-            if (finals[i] < wanted[i]) {
-                broken("no final answer", i);
-            } else if (finals[i] > wanted[i]) {
-                broken("more than one final answer", i);
+            if (finals[i] < expectedFinals[i]) {
+                recordBroken("no final answer", i);
+            } else if (finals[i] > expectedFinals[i]) {
+                recordBroken("more than one final answer", i);
             }
         }
     }
--- a/src/main/java/plumpost/lab/gearman/LoadClient.java
+++ b/src/main/java/plumpost/lab/gearman/LoadClient.java
@@ -12,180 +12,184 @@
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 
-/** An emulated client connection with many jobs out at once; each job's time counts from when it was meant to start. */
+/** An emulated client connection with many outstanding jobs; a job's time counts from its scheduled start. */
 final class LoadClient implements ConnectionHandler {
     private static final double RETRY_MS = 20;
 
-    /** One submit: a job's number, when it was meant to start, and what has come for it. */
-    static final class Out {
+    /** One submit of a job, its scheduled start and the result data received so far. */
+    static final class Submission {
         final int number;
-        final double meantAt;
+        final double scheduledAt;
         final boolean background;
-        final StringBuilder got = new StringBuilder();
+        final StringBuilder result = new StringBuilder();
 
-        Out(int number, double meantAt, boolean background) {
+        Submission(int number, double scheduledAt, boolean background) {
             this.number = number;
-            this.meantAt = meantAt;
+            this.scheduledAt = scheduledAt;
             this.background = background;
         }
     }
 
-    private final Yard yard;
+    private final LoadThread loadThread;
     private final LoadRun run;
-    private final ArrayDeque<Out> unnamed = new ArrayDeque<>();
-    private final Map<String, List<Out>> byHandle = new HashMap<>();
-    private final ArrayDeque<Out> before = new ArrayDeque<>();
+    private final ArrayDeque<Submission> awaitingHandle = new ArrayDeque<>();
+    private final Map<String, List<Submission>> byHandle = new HashMap<>();
+    private final ArrayDeque<Submission> unsent = new ArrayDeque<>();
     private PacketReader reader;
-    private Connection wire;
-    private boolean live;
+    private Connection connection;
+    private boolean connected;
 
-    LoadClient(Yard yard, LoadRun run) {
-        this.yard = yard;
+    LoadClient(LoadThread loadThread, LoadRun run) {
+        this.loadThread = loadThread;
         this.run = run;
     }
 
     void connect() {
         reader = new PacketReader(Packet.RESPONSE, false, 1 << 26);
-        wire = yard.loop.dial(yard.target, w -> this);
+        connection = loadThread.loop.dial(loadThread.target, w -> this);
     }
 
-    /** Submits a job, now or as soon as it is connected. */
-    void submit(Out out) {
-        if (!live) {
-            before.add(out);
+    /** Submits a job now, or as soon as the connection is open. */
+    void submit(Submission submission) {
+        if (!connected) {
+            unsent.add(submission);
             return;
         }
-        LoadPlan plan = yard.plan;
-        boolean order = run.isOrder(out.number);
-        Type type = out.background ? Type.SUBMIT_JOB_BG : Type.SUBMIT_JOB;
-        if (!out.background) {
-            yard.audit.waits(out.number);
+        LoadPlan plan = loadThread.plan;
+        boolean order = run.isOrder(submission.number);
+        Type type = submission.background ? Type.SUBMIT_JOB_BG : Type.SUBMIT_JOB;
+        if (!submission.background) {
+            loadThread.audit.clientWaits(submission.number);
         }
-        unnamed.add(out);
-        wire.write(Packet.bytes(
+        awaitingHandle.add(submission);
+        connection.write(Packet.bytes(
                 Packet.REQUEST,
                 type,
                 order ? plan.order() : plan.plan(),
-                order || plan.faults() > 0 ? "k" + plan.seed() + "-" + out.number : "",
-                ByteBuffer.wrap(Work.bytes(out.number, run.serviceMs(out.number), order, plan.bytes()))));
+                order || plan.faults() > 0 ? "k" + plan.seed() + "-" + submission.number : "",
+                ByteBuffer.wrap(
+                        JobPayload.encode(submission.number, run.serviceMs(submission.number), order, plan.bytes()))));
     }
 
-    /** Ends the connection; what was out comes again under the same keys. */
+    /** Closes the connection, after half a packet if {@code half}; outstanding jobs are submitted again under the same keys. */
     void leave(boolean half) {
-        if (!live) {
+        if (!connected) {
             return;
         }
         if (half) {
-            wire.write(ByteBuffer.wrap(new byte[] {0, 'R', 'E', 'Q', 0, 0, 0, 7, 0, 0, 4}));
+            connection.write(ByteBuffer.wrap(new byte[] {0, 'R', 'E', 'Q', 0, 0, 0, 7, 0, 0, 4}));
         }
-        live = false;
-        wire.cut();
-        again();
+        connected = false;
+        connection.cut();
+        resubmitOutstanding();
     }
 
-    private void again() {
-        List<Out> out = new ArrayList<>(unnamed);
-        byHandle.values().forEach(out::addAll);
-        unnamed.clear();
+    private void resubmitOutstanding() {
+        List<Submission> outstanding = new ArrayList<>(awaitingHandle);
+        byHandle.values().forEach(outstanding::addAll);
+        awaitingHandle.clear();
         byHandle.clear();
-        for (Out o : out) {
-            if (!o.background) {
-                yard.audit.gone(o.number);
+        for (Submission submission : outstanding) {
+            if (!submission.background) {
+                loadThread.audit.clientGone(submission.number);
             }
-            before.add(new Out(o.number, o.meantAt, o.background));
+            unsent.add(new Submission(submission.number, submission.scheduledAt, submission.background));
         }
-        yard.later(RETRY_MS, this::connect);
+        loadThread.schedule(RETRY_MS, this::connect);
     }
 
     boolean idle() {
-        return unnamed.isEmpty() && byHandle.isEmpty() && before.isEmpty();
+        return awaitingHandle.isEmpty() && byHandle.isEmpty() && unsent.isEmpty();
     }
 
     @Override
     public void opened() {
-        live = true;
-        wire.write(Packet.bytes(Packet.REQUEST, Type.OPTION_REQ, "exceptions"));
-        for (int n = before.size(); n > 0; n--) {
-            submit(before.poll());
+        connected = true;
+        connection.write(Packet.bytes(Packet.REQUEST, Type.OPTION_REQ, "exceptions"));
+        for (int remaining = unsent.size(); remaining > 0; remaining--) {
+            submit(unsent.poll());
         }
     }
 
     @Override
     public void bytes(ByteBuffer in) {
         try {
-            for (Packet p = reader.next(in); p != null && live; p = reader.next(in)) {
-                packet(p);
+            for (Packet packet = reader.next(in); packet != null && connected; packet = reader.next(in)) {
+                handlePacket(packet);
             }
         } catch (PacketReader.BadPacket e) {
-            yard.audit.broken("server sent what is no packet", -1);
+            loadThread.audit.recordBroken("server sent what is no packet", -1);
         }
     }
 
-    private void packet(Packet p) {
-        switch (p.type()) {
+    private void handlePacket(Packet packet) {
+        switch (packet.type()) {
             case JOB_CREATED -> {
-                Out o = unnamed.poll();
-                if (o == null) {
-                    yard.audit.broken("JOB_CREATED for nothing", -1);
-                } else if (o.background) {
-                    run.ended(o, "background", this);
+                Submission submission = awaitingHandle.poll();
+                if (submission == null) {
+                    loadThread.audit.recordBroken("JOB_CREATED for nothing", -1);
+                } else if (submission.background) {
+                    run.submissionEnded(submission, "background", this);
                 } else {
-                    byHandle.computeIfAbsent(p.text(0), h -> new ArrayList<>(1)).add(o);
+                    byHandle.computeIfAbsent(packet.text(0), h -> new ArrayList<>(1))
+                            .add(submission);
                 }
             }
             case ERROR -> {
-                Out o = unnamed.poll();
-                if (o != null) {
-                    if (!o.background) {
-                        yard.audit.finalAnswer(o.number);
+                Submission submission = awaitingHandle.poll();
+                if (submission != null) {
+                    if (!submission.background) {
+                        loadThread.audit.finalAnswer(submission.number);
                     }
-                    run.ended(o, "ERROR " + p.text(0), this);
+                    run.submissionEnded(submission, "ERROR " + packet.text(0), this);
                 }
             }
-            case WORK_DATA -> outs(p).forEach(o -> o.got.append(p.text(1)));
+            case WORK_DATA -> findByHandle(packet).forEach(submission -> submission.result.append(packet.text(1)));
             case WORK_COMPLETE -> {
-                for (Out o : last(p)) {
-                    o.got.append(p.text(1));
-                    if (!o.got.toString().equals(Work.result(o.number))) {
-                        yard.audit.broken("a result that is mixed or another job's", o.number);
+                for (Submission submission : takeFinished(packet)) {
+                    submission.result.append(packet.text(1));
+                    if (!submission.result.toString().equals(JobPayload.result(submission.number))) {
+                        loadThread.audit.recordBroken("a result that is mixed or another job's", submission.number);
                     }
-                    run.ended(o, "WORK_COMPLETE", this);
+                    run.submissionEnded(submission, "WORK_COMPLETE", this);
                 }
             }
-            case WORK_FAIL -> last(p).forEach(o -> run.ended(o, "WORK_FAIL", this));
+            case WORK_FAIL ->
+                takeFinished(packet).forEach(submission -> run.submissionEnded(submission, "WORK_FAIL", this));
             case WORK_EXCEPTION ->
-                last(p).forEach(o ->
-                        run.ended(o, p.text(1).startsWith("refused") ? "refused" : "WORK_EXCEPTION", this));
+                takeFinished(packet)
+                        .forEach(submission -> run.submissionEnded(
+                                submission, packet.text(1).startsWith("refused") ? "refused" : "WORK_EXCEPTION", this));
             case OPTION_RES, WORK_STATUS, WORK_WARNING -> {}
-            default -> yard.audit.count("client got " + p.type());
+            default -> loadThread.audit.count("client got " + packet.type());
         }
     }
 
-    private List<Out> outs(Packet p) {
-        return byHandle.getOrDefault(p.text(0), List.of());
+    private List<Submission> findByHandle(Packet packet) {
+        return byHandle.getOrDefault(packet.text(0), List.of());
     }
 
-    /** Those who wait under a handle: each submit of this connection that joined the job gets its own final packet. */
-    private List<Out> last(Packet p) {
-        List<Out> all = byHandle.get(p.text(0));
-        if (all == null) {
-            yard.audit.broken("a final packet for nothing", -1);
+    /** Removes the oldest submit that waits under a handle: each submit that joined the job gets its own final packet. */
+    private List<Submission> takeFinished(Packet packet) {
+        List<Submission> submissions = byHandle.get(packet.text(0));
+        if (submissions == null) {
+            loadThread.audit.recordBroken("a final packet for nothing", -1);
             return List.of();
         }
-        Out first = all.remove(0);
-        if (all.isEmpty()) {
-            byHandle.remove(p.text(0));
+        Submission first = submissions.remove(0);
+        if (submissions.isEmpty()) {
+            byHandle.remove(packet.text(0));
         }
-        yard.audit.finalAnswer(first.number);
+        loadThread.audit.finalAnswer(first.number);
         return List.of(first);
     }
 
     @Override
     public void ended() {
-        if (live) {
-            yard.audit.count("client cut off by the server");
+        if (connected) {
+            loadThread.audit.count("client cut off by the server");
         }
-        live = false;
-        again();
+        connected = false;
+        resubmitOutstanding();
     }
 }
--- a/src/main/java/plumpost/lab/gearman/LoadPlan.java
+++ b/src/main/java/plumpost/lab/gearman/LoadPlan.java
@@ -3,25 +3,25 @@
 import java.net.InetSocketAddress;
 
 /**
- * What a load run does; equal plans draw equal jobs and faults.
+ * The parameters of a load run; equal plans draw equal jobs and faults.
  *
- * @param target where the server listens
- * @param seed for all draws
- * @param clients connections that submit
- * @param workers connections that work
+ * @param target address of the server
+ * @param seed seed of all random draws
+ * @param clients number of connections that submit
+ * @param workers number of worker connections
  * @param jobs jobs that are submitted and counted
- * @param warmup jobs before those, which are audited but not in the figures
- * @param ratePerS jobs a second on an open loop, 0 for a closed one
- * @param outstanding jobs that each client has out on a closed loop
- * @param orders share of jobs that must not run twice
- * @param background share of jobs that nobody waits for
- * @param bytes bytes of a job's data beside its name
- * @param service how long work takes
- * @param faults share of jobs on which something goes wrong, 0 for none
+ * @param warmup jobs before those, which are audited but not included in the figures
+ * @param ratePerS jobs a second on an open loop, 0 for a closed loop
+ * @param outstanding outstanding jobs of each client on a closed loop
+ * @param orders fraction of jobs that must run at most once
+ * @param background fraction of background jobs
+ * @param bytes padding bytes in a job's data
+ * @param service distribution of service times
+ * @param faults fraction of jobs with an injected fault
  * @param plan function of jobs that may be repeated
- * @param order function of jobs that must not
- * @param patienceS when a job without a final answer is counted as lost, after the last one was submitted
- * @param threads threads on which workers run
+ * @param order function of jobs that must run at most once
+ * @param patienceS seconds after the last submit when a job without a final answer counts as lost
+ * @param threads number of threads for workers
  */
 public record LoadPlan(
         InetSocketAddress target,
@@ -41,7 +41,7 @@
         String order,
         double patienceS,
         int threads) {
-    /** All jobs, those of the warm-up first. */
+    /** Returns the number of all jobs, including the warm-up. */
     public int all() {
         return warmup + jobs;
     }
--- a/src/main/java/plumpost/lab/gearman/LoadResult.java
+++ b/src/main/java/plumpost/lab/gearman/LoadResult.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What came of a load run, as JSON and as a page. Times are in milliseconds from when a job was meant to start. */
+/** The result of a load run. Times count from a job's scheduled start; the histogram holds microseconds. */
 public record LoadResult(
         LoadPlan plan,
         double tookMs,
@@ -23,85 +23,89 @@
         List<LoadRun.Second> seconds,
         LoadRun.ServerMeter meter) {
 
-    /** Jobs that ended a second. */
+    /** Returns the number of counted jobs that ended per second. */
     public double ratePerS() {
         return counted / tookMs * 1000;
     }
 
-    /** The server's CPU time for a job in microseconds, or NaN. */
+    /** Returns the server's CPU time per job in microseconds, or NaN if it was not measured. */
     public double cpuMicros() {
         return meter.cpuS() * 1e6 / Math.max(1, counted);
     }
 
-    /** A time in milliseconds below which so many in 100 jobs ended. */
+    /** Returns the given percentile of the job times in milliseconds. */
     public double percentileMs(double percent) {
         return times.getValueAtPercentile(percent) / 1000.0;
     }
 
-    /** The result as one JSON object. */
+    /** Returns the result as one JSON object. */
     public String json() throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator j = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
-            j.writeStartObject();
-            j.writeObjectFieldStart("plan");
-            j.writeNumberField("seed", plan.seed());
-            j.writeNumberField("clients", plan.clients());
-            j.writeNumberField("workers", plan.workers());
-            j.writeNumberField("jobs", plan.jobs());
-            j.writeNumberField("warmup", plan.warmup());
-            j.writeNumberField("ratePerS", plan.ratePerS());
-            j.writeNumberField("orders", plan.orders());
-            j.writeNumberField("background", plan.background());
-            j.writeNumberField("bytes", plan.bytes());
-            j.writeStringField(
+        try (JsonGenerator json = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+            json.writeStartObject();
+            json.writeObjectFieldStart("plan");
+            json.writeNumberField("seed", plan.seed());
+            json.writeNumberField("clients", plan.clients());
+            json.writeNumberField("workers", plan.workers());
+            json.writeNumberField("jobs", plan.jobs());
+            json.writeNumberField("warmup", plan.warmup());
+            json.writeNumberField("ratePerS", plan.ratePerS());
+            json.writeNumberField("orders", plan.orders());
+            json.writeNumberField("background", plan.background());
+            json.writeNumberField("bytes", plan.bytes());
+            json.writeStringField(
                     "service", plan.service().kind() + ":" + plan.service().ms());
-            j.writeNumberField("faults", plan.faults());
-            j.writeEndObject();
-            j.writeNumberField("tookMs", tookMs);
-            j.writeNumberField("begun", begun);
-            j.writeNumberField("ended", ended);
-            j.writeNumberField("endedPerS", ratePerS());
-            j.writeNumberField("broken", broken);
-            map(j, "endings", endings);
-            map(j, "counts", counts);
-            j.writeArrayFieldStart("examples");
-            for (String e : examples) {
-                j.writeString(e);
+            json.writeNumberField("faults", plan.faults());
+            json.writeEndObject();
+            json.writeNumberField("tookMs", tookMs);
+            json.writeNumberField("begun", begun);
+            json.writeNumberField("ended", ended);
+            json.writeNumberField("endedPerS", ratePerS());
+            json.writeNumberField("broken", broken);
+            writeCounts(json, "endings", endings);
+            writeCounts(json, "counts", counts);
+            json.writeArrayFieldStart("examples");
+            for (String example : examples) {
+                json.writeString(example);
             }
-            j.writeEndArray();
-            j.writeObjectFieldStart("timesMs");
-            for (double p : new double[] {50, 90, 99, 99.9, 100}) {
-                j.writeNumberField(
-                        "p" + (p == Math.rint(p) ? String.valueOf((int) p) : String.valueOf(p)), percentileMs(p));
+            json.writeEndArray();
+            json.writeObjectFieldStart("timesMs");
+            for (double percentile : new double[] {50, 90, 99, 99.9, 100}) {
+                json.writeNumberField(
+                        "p"
+                                + (percentile == Math.rint(percentile)
+                                        ? String.valueOf((int) percentile)
+                                        : String.valueOf(percentile)),
+                        percentileMs(percentile));
             }
-            j.writeEndObject();
+            json.writeEndObject();
             if (!Double.isNaN(meter.cpuS())) {
-                j.writeObjectFieldStart("server");
-                j.writeNumberField("cpuMicrosAJob", cpuMicros());
-                j.writeNumberField("residentKb", meter.residentKb());
-                j.writeEndObject();
+                json.writeObjectFieldStart("server");
+                json.writeNumberField("cpuMicrosAJob", cpuMicros());
+                json.writeNumberField("residentKb", meter.residentKb());
+                json.writeEndObject();
             }
-            j.writeArrayFieldStart("seconds");
-            for (LoadRun.Second s : seconds) {
-                j.writeStartObject();
-                j.writeNumberField("atS", s.atS());
-                j.writeNumberField("ended", s.ended());
-                j.writeNumberField("p50Ms", s.p50Ms());
-                j.writeNumberField("p99Ms", s.p99Ms());
-                j.writeNumberField("out", s.out());
-                j.writeEndObject();
+            json.writeArrayFieldStart("seconds");
+            for (LoadRun.Second second : seconds) {
+                json.writeStartObject();
+                json.writeNumberField("atS", second.atS());
+                json.writeNumberField("ended", second.ended());
+                json.writeNumberField("p50Ms", second.p50Ms());
+                json.writeNumberField("p99Ms", second.p99Ms());
+                json.writeNumberField("out", second.out());
+                json.writeEndObject();
             }
-            j.writeEndArray();
-            j.writeEndObject();
+            json.writeEndArray();
+            json.writeEndObject();
         }
         return text + "\n";
     }
 
-    private static void map(JsonGenerator j, String name, Map<String, Integer> counts) throws IOException {
-        j.writeObjectFieldStart(name);
+    private static void writeCounts(JsonGenerator json, String name, Map<String, Integer> counts) throws IOException {
+        json.writeObjectFieldStart(name);
         for (Map.Entry<String, Integer> e : counts.entrySet()) {
-            j.writeNumberField(e.getKey(), e.getValue());
+            json.writeNumberField(e.getKey(), e.getValue());
         }
-        j.writeEndObject();
+        json.writeEndObject();
     }
 }
--- a/src/main/java/plumpost/lab/gearman/LoadRun.java
+++ b/src/main/java/plumpost/lab/gearman/LoadRun.java
@@ -16,230 +16,235 @@
 import plumpost.net.ConnectionHandler;
 
 /**
- * A load run: clients on this thread, workers on threads of their own. On an open loop jobs start when the plan says,
- * however slow answers are, and a job's time counts from then, so that no slow answer hides the ones behind it.
+ * A load run with clients on the calling thread and workers on their own threads. On an open loop jobs start at their scheduled
+ * times however slow the answers are, and a job's time counts from its scheduled start, so that one slow answer does not hide
+ * the delay of the jobs behind it.
  */
 public final class LoadRun {
     private static final double SETTLE_MS = 700;
-    private static final int STORM = 30;
+    private static final int STORM_CONNECTIONS = 30;
     private static final int MUTE_BYTES = 30_000;
     private static final int MUTE_PACKETS = 400;
-    private static final int MUTE_TURNS = 200;
-    private static final double MUTE_MS = 10;
+    private static final int MAX_MUTE_RETRIES = 200;
+    private static final double MUTE_RETRY_MS = 10;
     private static final double SECOND_MS = 1000;
 
-    /** A second of the run. */
+    /** The figures of one second of the run. */
     record Second(double atS, long ended, double p50Ms, double p99Ms, long out) {}
 
     private final LoadPlan plan;
     private final Audit audit;
-    private final Yard yard;
-    private final List<Yard> yards = new ArrayList<>();
+    private final LoadThread clientThread;
+    private final List<LoadThread> workerThreads = new ArrayList<>();
     private final List<LoadClient> clients = new ArrayList<>();
-    private final List<SocketChannel> mute = new ArrayList<>();
-    private final Histogram all = new Histogram(600_000_000L, 3);
-    private final Histogram second = new Histogram(600_000_000L, 3);
+    private final List<SocketChannel> muteChannels = new ArrayList<>();
+    private final Histogram times = new Histogram(600_000_000L, 3);
+    private final Histogram secondTimes = new Histogram(600_000_000L, 3);
     private final Map<String, Integer> endings = new TreeMap<>();
     private final List<Second> seconds = new ArrayList<>();
     private final SplittableRandom arrivals;
     private int begun;
     private int ended;
-    private int extra;
-    private int uncounted;
+    private int resubmitted;
+    private int warmupEnded;
     private long endedAtSecond;
     private double tookMs;
 
-    /** A run of a plan. */
+    /** Creates a run of a plan. */
     public LoadRun(LoadPlan plan) throws IOException {
         this.plan = plan;
         audit = new Audit(plan.all());
-        yard = new Yard(plan, audit, 0);
+        clientThread = new LoadThread(plan, audit, 0);
         arrivals = new SplittableRandom(plan.seed());
     }
 
-    private SplittableRandom of(int number) {
+    private SplittableRandom randomFor(int number) {
         return new SplittableRandom(plan.seed() * 0x9E3779B97F4A7C15L + number);
     }
 
     boolean isOrder(int number) {
-        return of(number).nextDouble() < plan.orders();
+        return randomFor(number).nextDouble() < plan.orders();
     }
 
     double serviceMs(int number) {
-        SplittableRandom random = of(number);
+        SplittableRandom random = randomFor(number);
         random.nextLong();
         return plan.service().draw(random);
     }
 
     private boolean isBackground(int number) {
-        SplittableRandom random = of(number);
+        SplittableRandom random = randomFor(number);
         random.nextLong();
         random.nextLong();
         return random.nextDouble() < plan.background();
     }
 
-    /** Runs to the end; progress goes to {@code progress}. Returns what came of it. */
+    /** Performs the run, prints progress once a second and returns the result. */
     public LoadResult run(PrintStream progress, ServerMeter meter) throws IOException {
         for (int t = 0; t < plan.threads(); t++) {
-            Yard y = new Yard(plan, audit, t + 1);
-            yards.add(y);
+            LoadThread workerThread = new LoadThread(plan, audit, t + 1);
+            workerThreads.add(workerThread);
             for (int i = t; i < plan.workers(); i += plan.threads()) {
-                new LoadWorker(y, "lab-" + plan.seed() + "-" + i).connect();
+                new LoadWorker(workerThread, "lab-" + plan.seed() + "-" + i).connect();
             }
-            y.start("lab-workers-" + t);
+            workerThread.start("lab-workers-" + t);
         }
         for (int i = 0; i < plan.clients(); i++) {
-            clients.add(new LoadClient(yard, this));
+            clients.add(new LoadClient(clientThread, this));
             clients.get(i).connect();
         }
-        turnFor(SETTLE_MS);
-        double from = yard.clock.nowMs();
+        runLoopFor(SETTLE_MS);
+        double startedAt = clientThread.clock.nowMs();
         double countedFrom = Double.NaN;
-        double next = from;
-        double nextSecond = from + SECOND_MS;
-        double lastSubmit = from;
+        double nextArrival = startedAt;
+        double nextSecond = startedAt + SECOND_MS;
+        double lastSubmit = startedAt;
         if (plan.ratePerS() <= 0) {
             for (int n = 0; n < plan.outstanding(); n++) {
-                for (LoadClient c : clients) {
-                    submit(c, yard.clock.nowMs());
+                for (LoadClient client : clients) {
+                    submit(client, clientThread.clock.nowMs());
                 }
             }
         }
-        while (begun < plan.all() || ended < plan.all() + extra) {
-            double now = yard.clock.nowMs();
+        while (begun < plan.all() || ended < plan.all() + resubmitted) {
+            double now = clientThread.clock.nowMs();
             if (Double.isNaN(countedFrom) && begun >= plan.warmup()) {
                 countedFrom = now;
-                uncounted = ended;
+                warmupEnded = ended;
                 meter.begin();
             }
-            while (plan.ratePerS() > 0 && next <= now && begun < plan.all()) {
-                submit(clients.get(begun % clients.size()), next);
-                next += -SECOND_MS / plan.ratePerS() * Math.log(1 - arrivals.nextDouble());
+            while (plan.ratePerS() > 0 && nextArrival <= now && begun < plan.all()) {
+                submit(clients.get(begun % clients.size()), nextArrival);
+                nextArrival += -SECOND_MS / plan.ratePerS() * Math.log(1 - arrivals.nextDouble());
             }
             if (begun < plan.all()) {
                 lastSubmit = now;
             } else if (now > lastSubmit + plan.patienceS() * SECOND_MS) {
-                break; // what has no answer by now is counted as lost
+                break; // jobs without an answer by now count as lost
             }
             if (now >= nextSecond) {
-                tick(progress, now - from);
+                recordSecond(progress, now - startedAt);
                 nextSecond += SECOND_MS;
             }
-            yard.loop.turn(begun < plan.all() && plan.ratePerS() > 0 ? Math.min(1, Math.floor(next - now)) : 1);
+            clientThread.loop.turn(
+                    begun < plan.all() && plan.ratePerS() > 0 ? Math.min(1, Math.floor(nextArrival - now)) : 1);
         }
-        tookMs = yard.clock.nowMs() - countedFrom;
+        tookMs = clientThread.clock.nowMs() - countedFrom;
         meter.end();
-        turnFor(plan.faults() > 0 ? SETTLE_MS : 50); // a second final answer would come now
-        tick(progress, yard.clock.nowMs() - from);
-        for (SocketChannel m : mute) {
-            m.close();
+        runLoopFor(plan.faults() > 0 ? SETTLE_MS : 50); // a duplicate final answer would arrive now
+        recordSecond(progress, clientThread.clock.nowMs() - startedAt);
+        for (SocketChannel channel : muteChannels) {
+            channel.close();
         }
-        for (Yard y : yards) {
-            y.stop();
+        for (LoadThread workerThread : workerThreads) {
+            workerThread.stop();
         }
-        audit.close();
+        audit.checkFinalAnswers();
         return new LoadResult(
                 plan,
                 tookMs,
                 begun,
                 ended,
-                ended - uncounted,
+                ended - warmupEnded,
                 new TreeMap<>(endings),
                 audit.counts(),
                 audit.examples(),
                 audit.brokenRules(),
-                all,
+                times,
                 List.copyOf(seconds),
                 meter);
     }
 
-    private void turnFor(double ms) throws IOException {
-        for (double end = yard.clock.nowMs() + ms; yard.clock.nowMs() < end; ) {
-            yard.loop.turn(5);
+    private void runLoopFor(double durationMs) throws IOException {
+        for (double end = clientThread.clock.nowMs() + durationMs; clientThread.clock.nowMs() < end; ) {
+            clientThread.loop.turn(5);
         }
     }
 
-    private void tick(PrintStream progress, double atMs) {
+    private void recordSecond(PrintStream progress, double atMs) {
         seconds.add(new Second(
                 atMs / 1000,
                 ended - endedAtSecond,
-                second.getValueAtPercentile(50) / 1000.0,
-                second.getValueAtPercentile(99) / 1000.0,
-                begun + extra - ended));
+                secondTimes.getValueAtPercentile(50) / 1000.0,
+                secondTimes.getValueAtPercentile(99) / 1000.0,
+                begun + resubmitted - ended));
         progress.printf(
                 "%6.1f s  %8d begun  %8d ended  p50 %.2f ms  p99 %.2f ms  broken %d%n",
                 atMs / 1000,
                 begun,
                 ended,
-                second.getValueAtPercentile(50) / 1000.0,
-                second.getValueAtPercentile(99) / 1000.0,
+                secondTimes.getValueAtPercentile(50) / 1000.0,
+                secondTimes.getValueAtPercentile(99) / 1000.0,
                 audit.brokenRules());
-        second.reset();
+        secondTimes.reset();
         endedAtSecond = ended;
     }
 
-    private void submit(LoadClient client, double meantAt) {
+    private void submit(LoadClient client, double scheduledAt) {
         if (begun >= plan.all()) {
             return;
         }
         int number = begun++;
-        client.submit(new LoadClient.Out(number, meantAt, isBackground(number)));
-        Fault f = Fault.of(plan.seed(), number, plan.faults());
-        if (f == Fault.NONE || f.onWorker()) {
+        client.submit(new LoadClient.Submission(number, scheduledAt, isBackground(number)));
+        Fault fault = Fault.draw(plan.seed(), number, plan.faults());
+        if (fault == Fault.NONE || fault.isWorkerFault()) {
             return;
         }
-        audit.count("fault " + f);
-        int at = clients.indexOf(client);
-        switch (f) {
-            case LEAVE, HALF -> yard.later(serviceMs(number) / 2 + 2, () -> client.leave(f == Fault.HALF));
+        audit.count("fault " + fault);
+        int index = clients.indexOf(client);
+        switch (fault) {
+            case LEAVE, HALF ->
+                clientThread.schedule(serviceMs(number) / 2 + 2, () -> client.leave(fault == Fault.HALF));
             case RESUBMIT -> {
-                extra++;
-                clients.get((at + 1) % clients.size())
-                        .submit(new LoadClient.Out(number, meantAt, clients.size() == 1 || isBackground(number)));
+                resubmitted++;
+                clients.get((index + 1) % clients.size())
+                        .submit(new LoadClient.Submission(
+                                number, scheduledAt, clients.size() == 1 || isBackground(number)));
             }
-            case MUTE -> mute();
-            default -> storm();
+            case MUTE -> openMuteConnection();
+            default -> openStormConnections();
         }
     }
 
-    /** A connection that asks for megabytes of echoes and never reads; its socket is no loop's, which would read. */
-    private void mute() {
+    /** Opens a connection that requests megabytes of echoes and never reads; not on the loop, which would read. */
+    private void openMuteConnection() {
         try {
             SocketChannel channel = SocketChannel.open(plan.target());
             channel.configureBlocking(false);
-            mute.add(channel);
-            ask(channel, Packet.bytes(Packet.REQUEST, Packet.Type.ECHO_REQ, ByteBuffer.allocate(MUTE_BYTES)), 0, 0);
+            muteChannels.add(channel);
+            writeEchoRequests(
+                    channel, Packet.bytes(Packet.REQUEST, Packet.Type.ECHO_REQ, ByteBuffer.allocate(MUTE_BYTES)), 0, 0);
         } catch (IOException e) {
             audit.count("mute connection refused");
         }
     }
 
-    private void ask(SocketChannel channel, ByteBuffer[] packet, int sent, int turns) {
+    private void writeEchoRequests(SocketChannel channel, ByteBuffer[] packet, int sent, int retries) {
         try {
-            int n = sent;
-            while (n < MUTE_PACKETS && channel.write(packet) >= 0 && !packet[packet.length - 1].hasRemaining()) {
-                n++;
-                for (ByteBuffer b : packet) {
-                    b.rewind();
+            int written = sent;
+            while (written < MUTE_PACKETS && channel.write(packet) >= 0 && !packet[packet.length - 1].hasRemaining()) {
+                written++;
+                for (ByteBuffer buffer : packet) {
+                    buffer.rewind();
                 }
             }
-            if (n < MUTE_PACKETS && turns < MUTE_TURNS) {
-                int so = n;
-                yard.later(MUTE_MS, () -> ask(channel, packet, so, turns + 1));
+            if (written < MUTE_PACKETS && retries < MAX_MUTE_RETRIES) {
+                int soFar = written;
+                clientThread.schedule(MUTE_RETRY_MS, () -> writeEchoRequests(channel, packet, soFar, retries + 1));
             }
         } catch (IOException e) {
             audit.count("mute connection cut off by the server");
         }
     }
 
-    private void storm() {
-        for (int i = 0; i < STORM; i++) {
-            yard.loop.dial(plan.target(), wire -> new ConnectionHandler() {
+    private void openStormConnections() {
+        for (int i = 0; i < STORM_CONNECTIONS; i++) {
+            clientThread.loop.dial(plan.target(), connection -> new ConnectionHandler() {
                 @Override
                 public void opened() {
-                    wire.write(Packet.bytes(Packet.REQUEST, Packet.Type.CAN_DO, plan.plan()));
-                    wire.write(Packet.bytes(Packet.REQUEST, Packet.Type.PRE_SLEEP));
-                    yard.later(5, wire::cut);
+                    connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.CAN_DO, plan.plan()));
+                    connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.PRE_SLEEP));
+                    clientThread.schedule(5, connection::cut);
                 }
 
                 @Override
@@ -253,37 +258,37 @@
         }
     }
 
-    /** A submit has ended for its client. */
-    void ended(LoadClient.Out out, String how, LoadClient client) {
+    /** Records that a submit has ended for its client. */
+    void submissionEnded(LoadClient.Submission submission, String ending, LoadClient client) {
         ended++;
-        endings.merge(how, 1, Integer::sum);
-        long micros = Math.max(0, Math.round((yard.clock.nowMs() - out.meantAt) * 1000));
-        if (out.number >= plan.warmup()) {
-            all.recordValue(Math.min(micros, all.getHighestTrackableValue()));
+        endings.merge(ending, 1, Integer::sum);
+        long micros = Math.max(0, Math.round((clientThread.clock.nowMs() - submission.scheduledAt) * 1000));
+        if (submission.number >= plan.warmup()) {
+            times.recordValue(Math.min(micros, times.getHighestTrackableValue()));
         }
-        second.recordValue(Math.min(micros, second.getHighestTrackableValue()));
+        secondTimes.recordValue(Math.min(micros, secondTimes.getHighestTrackableValue()));
         if (plan.ratePerS() <= 0) {
-            submit(client, yard.clock.nowMs());
+            submit(client, clientThread.clock.nowMs());
         }
     }
 
-    /** What the server's process uses, where its number is given. */
+    /** Measures the CPU time and memory of the server's process if its pid is given. */
     public static final class ServerMeter {
         private final long pid;
         private double cpuS = Double.NaN;
         private long residentKb;
 
-        /** A meter of a process, or of none where that is 0. */
+        /** Creates a meter for a process; 0 measures nothing. */
         public ServerMeter(long pid) {
             this.pid = pid;
         }
 
         private void begin() throws IOException {
-            cpuS = -cpu();
+            cpuS = -readCpuSeconds();
         }
 
         private void end() throws IOException {
-            cpuS += cpu();
+            cpuS += readCpuSeconds();
             if (pid > 0) {
                 for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
                     if (line.startsWith("VmRSS:")) {
@@ -293,13 +298,14 @@
             }
         }
 
-        private double cpu() throws IOException {
+        private double readCpuSeconds() throws IOException {
             if (pid <= 0) {
                 return Double.NaN;
             }
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-            String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return (Long.parseLong(f[11]) + Long.parseLong(f[12])) / 100.0; // user and system, in ticks of 10 ms
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12]))
+                    / 100.0; // user and system, in ticks of 10 ms
         }
 
         double cpuS() {
--- a/src/main/java/plumpost/lab/gearman/Yard.java
+++ b/src/main/java/plumpost/lab/gearman/LoadThread.java
@@ -8,8 +8,8 @@
 import plumpost.time.SystemClock;
 import plumpost.time.TimerWheel;
 
-/** One thread of the laboratory: a loop with its clock, timers and draws. */
-final class Yard {
+/** An event loop of a load run with its clock, timers and random source; {@link #start} runs it on its own thread. */
+final class LoadThread {
     final SystemClock clock = new SystemClock();
     final TimerWheel wheel = new TimerWheel(clock.nowMs());
     final SelectorLoop loop;
@@ -17,11 +17,11 @@
     final Audit audit;
     final LoadPlan plan;
     final SplittableRandom random;
-    private volatile boolean over;
-    private volatile Throwable fault;
+    private volatile boolean stopped;
+    private volatile Throwable failure;
     private Thread thread;
 
-    Yard(LoadPlan plan, Audit audit, long stream) throws IOException {
+    LoadThread(LoadPlan plan, Audit audit, long stream) throws IOException {
         this.plan = plan;
         this.audit = audit;
         this.target = plan.target();
@@ -29,17 +29,17 @@
         this.loop = new SelectorLoop(clock, wheel, new Counters(), words -> audit.count("lab: " + words));
     }
 
-    void later(double ms, Runnable what) {
-        wheel.at(clock.nowMs() + ms, what);
+    void schedule(double ms, Runnable action) {
+        wheel.at(clock.nowMs() + ms, action);
     }
 
     void start(String name) {
         thread = new Thread(
                 () -> {
                     try {
-                        loop.run(() -> over);
+                        loop.run(() -> stopped);
                     } catch (IOException | RuntimeException e) {
-                        fault = e;
+                        failure = e;
                     }
                 },
                 name);
@@ -47,15 +47,15 @@
     }
 
     void stop() throws IOException {
-        over = true;
+        stopped = true;
         loop.onLoop(() -> {});
         try {
             thread.join(5000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (fault != null) {
-            throw new IOException("a laboratory thread ended: " + fault, fault);
+        if (failure != null) {
+            throw new IOException("a laboratory thread ended: " + failure, failure);
         }
     }
 }
