--- a/src/main/java/plumpost/lab/LabMain.java
+++ b/src/main/java/plumpost/lab/LabMain.java
@@ -33,7 +33,7 @@
 
     private LabMain() {}
 
-    /** Runs a command of the laboratory; 0 where all holds, 1 where it does not, 2 for bad arguments. */
+    /** Runs a command of the laboratory; returns 0 on success, 1 if a check failed, 2 for bad arguments. */
     public static int run(String[] args, PrintStream out, PrintStream err) throws IOException {
         if (args.length > 0 && args[0].equals("fleet")) {
             return FleetLabMain.run(Arrays.copyOfRange(args, 1, args.length), out, err);
@@ -99,42 +99,42 @@
         }
     }
 
-    private static double number(CommandLine line, String option, double otherwise, double least, double most)
+    private static double number(CommandLine line, String option, double defaultValue, double min, double max)
             throws ParseException {
         String given = line.getOptionValue(option);
         try {
-            double v = given == null ? otherwise : Double.parseDouble(given);
-            if (v >= least && v <= most) {
-                return v;
+            double value = given == null ? defaultValue : Double.parseDouble(given);
+            if (value >= min && value <= max) {
+                return value;
             }
         } catch (NumberFormatException e) {
-            // told below, with what was given
+            // reported below with the given text
         }
-        throw new ParseException("--" + option + " is " + given + ", not from " + least + " to " + most);
+        throw new ParseException("--" + option + " is " + given + ", not from " + min + " to " + max);
     }
 
     private static int conformance(CommandLine line, InetSocketAddress target, PrintStream out) throws ParseException {
-        String on = line.getOptionValue("on", "usual");
-        if (!List.of("usual", "open", "tight").contains(on)) {
-            throw new ParseException("--on is " + on + ", not usual, open or tight");
+        String setup = line.getOptionValue("on", "usual");
+        if (!List.of("usual", "open", "tight").contains(setup)) {
+            throw new ParseException("--on is " + setup + ", not usual, open or tight");
         }
         double patience = number(line, "patience", 3000, 1, 600_000);
         List<Conformance.Result> results = new ArrayList<>();
         String mark = Long.toString(System.nanoTime(), 36);
-        for (Script.Case c : Conformance.cases(on::equals)) {
-            if (!c.title().contains(line.getOptionValue("only", ""))) {
+        for (Script.Case testCase : Conformance.cases(setup::equals)) {
+            if (!testCase.title().contains(line.getOptionValue("only", ""))) {
                 continue;
             }
             try (TcpRig rig = new TcpRig(target)) {
-                Conformance.Result r = Conformance.play(c, rig, patience, mark + "-" + results.size());
-                results.add(r);
-                if (r.failure() != null) {
-                    out.println("FAILS " + c.title() + "\n      " + r.failure());
+                Conformance.Result result = Conformance.play(testCase, rig, patience, mark + "-" + results.size());
+                results.add(result);
+                if (result.failure() != null) {
+                    out.println("FAILS " + testCase.title() + "\n      " + result.failure());
                 }
             }
         }
         out.print(Conformance.table(results));
-        return results.stream().allMatch(r -> r.failure() == null) ? 0 : 1;
+        return results.stream().allMatch(result -> result.failure() == null) ? 0 : 1;
     }
 
     private static int gearman(CommandLine line, InetSocketAddress target, PrintStream out)
@@ -157,20 +157,25 @@
                 line.getOptionValue("order", "pickup-order"),
                 number(line, "patience", 30, 0, 3600),
                 (int) number(line, "threads", 2, 1, 64));
-        LoadResult r = new LoadRun(plan).run(out, new LoadRun.ServerMeter((long) number(line, "pid", 0, 0, 1e9)));
+        LoadResult result = new LoadRun(plan).run(out, new LoadRun.ServerMeter((long) number(line, "pid", 0, 0, 1e9)));
         String json = line.getOptionValue("json");
         if ("-".equals(json)) {
-            out.print(r.json());
+            out.print(result.json());
         } else if (json != null) {
-            Files.writeString(Path.of(json), r.json());
+            Files.writeString(Path.of(json), result.json());
         }
         if (line.hasOption("html")) {
-            Files.writeString(Path.of(line.getOptionValue("html")), LoadPage.html(r));
+            Files.writeString(Path.of(line.getOptionValue("html")), LoadPage.html(result));
         }
         out.printf(
                 "%d jobs, %.0f a second, p50 %.2f ms, p99 %.2f ms, %.1f us of the server's CPU a job, %d rules "
                         + "broken%n",
-                r.ended(), r.ratePerS(), r.percentileMs(50), r.percentileMs(99), r.cpuMicros(), r.broken());
-        return r.broken() == 0 && r.ended() >= r.begun() ? 0 : 1;
+                result.ended(),
+                result.ratePerS(),
+                result.percentileMs(50),
+                result.percentileMs(99),
+                result.cpuMicros(),
+                result.broken());
+        return result.broken() == 0 && result.ended() >= result.begun() ? 0 : 1;
     }
 }
--- a/src/main/java/plumpost/lab/LoopThread.java
+++ b/src/main/java/plumpost/lab/LoopThread.java
@@ -11,89 +11,89 @@
 import plumpost.time.TimerWheel;
 
 /**
- * A loop of the laboratory's own on a thread of its own, with a clock, timers and sockets. What runs on it touches its state
- * without locks; others ask it through {@link #on}. It measures how late it runs, so that its figures can be judged.
+ * An event loop of the laboratory on its own thread, with a clock, timers and sockets. Code on the loop uses its state without
+ * locks; other threads go through {@link #callOnLoop}. The loop measures its own lag, so that measurements can be validated.
  */
 public final class LoopThread implements AutoCloseable {
-    private static final double LAG_LOOK_MS = 5;
-    /** A lag fades to a half within about a third of a second. */
-    private static final double LAG_FADES = 0.99;
+    private static final double LAG_SAMPLE_INTERVAL_MS = 5;
+    /** With this factor a recorded lag decays to a half within about a third of a second. */
+    private static final double LAG_DECAY_PER_SAMPLE = 0.99;
 
     private final SystemClock clock = new SystemClock();
     private final TimerWheel wheel = new TimerWheel(clock.nowMs());
     private final SelectorLoop loop;
     private final Thread thread;
-    private volatile boolean over;
+    private volatile boolean stopped;
     private volatile double worstLagMs;
     private volatile double recentLagMs;
 
-    /** A loop that does not run yet. */
+    /** Creates a loop that does not run yet; {@code name} is the name of its thread. */
     public LoopThread(String name) throws IOException {
         loop = new SelectorLoop(clock, wheel, new Counters(), words -> {});
         thread = new Thread(this::run, name);
         watchLag();
     }
 
-    /** Begins to run; whatever is made for the loop before needs no lock. */
+    /** Starts the thread; objects that were created for the loop before this call need no lock. */
     public void start() {
         thread.start();
     }
 
     private void run() {
         try {
-            loop.run(() -> over);
+            loop.run(() -> stopped);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private void watchLag() {
-        double due = clock.nowMs() + LAG_LOOK_MS;
+        double due = clock.nowMs() + LAG_SAMPLE_INTERVAL_MS;
         wheel.at(due, () -> {
             watchLag();
             double lag = clock.nowMs() - due;
             worstLagMs = Math.max(worstLagMs, lag);
-            recentLagMs = Math.max(lag, recentLagMs * LAG_FADES);
+            recentLagMs = Math.max(lag, recentLagMs * LAG_DECAY_PER_SAMPLE);
         });
     }
 
-    /** Its clock. */
+    /** Returns the loop's clock. */
     public SystemClock clock() {
         return clock;
     }
 
-    /** Its timers. */
+    /** Returns the loop's timers. */
     public TimerWheel wheel() {
         return wheel;
     }
 
-    /** Its sockets. */
+    /** Returns the loop that handles the sockets. */
     public SelectorLoop loop() {
         return loop;
     }
 
-    /** The most in milliseconds that it was late by since {@link #resetLag}. */
+    /** Returns the largest lag in milliseconds since {@link #resetLag}. */
     public double worstLagMs() {
         return worstLagMs;
     }
 
-    /** The most in milliseconds that it was late by lately. */
+    /** Returns the decaying maximum of recent lags in milliseconds. */
     public double recentLagMs() {
         return recentLagMs;
     }
 
-    /** Measures the worst lag anew from now on. */
+    /** Resets the largest lag. */
     public void resetLag() {
         worstLagMs = 0;
     }
 
-    /** Does something on the loop's thread and returns what it gives. */
-    public <T> T on(Supplier<T> what) throws InterruptedException {
+    /** Runs an action on the loop's thread, waits for it and returns its result. */
+    public <T> T callOnLoop(Supplier<T> action) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         List<T> result = new ArrayList<>(1);
         loop.onLoop(() -> {
             try {
-                result.add(what.get());
+                result.add(action.get());
             } finally {
                 done.countDown();
             }
@@ -102,22 +102,22 @@
         return result.get(0);
     }
 
-    /** Does something on the loop's thread and waits for it. */
-    public void run(Runnable what) throws InterruptedException {
-        on(() -> {
-            what.run();
+    /** Runs an action on the loop's thread and waits for it. */
+    public void run(Runnable action) throws InterruptedException {
+        callOnLoop(() -> {
+            action.run();
             return true;
         });
     }
 
-    /** Does something on the loop's thread some time soon. */
-    public void later(Runnable what) {
-        loop.onLoop(what);
+    /** Queues an action for the loop's thread without waiting for it. */
+    public void runLater(Runnable action) {
+        loop.onLoop(action);
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         loop.onLoop(() -> {});
         try {
             thread.join();
--- a/src/main/java/plumpost/lab/SchedulerProcess.java
+++ b/src/main/java/plumpost/lab/SchedulerProcess.java
@@ -17,12 +17,12 @@
 import plumpost.config.NodeListReader;
 
 /**
- * A real scheduler in a process of its own, with the heap that the deploy file gives it: its log, the signals that it gets and
- * what the system accounts to it.
+ * A real scheduler process with the JVM options of the deploy file. Gives access to its log, sends signals to it and reads its
+ * resource usage.
  */
 public final class SchedulerProcess implements Closeable {
-    /** The deploy file's bounds for 192 MB, the platform's limit. */
-    private static final List<String> BOUNDS = List.of(
+    /** The deploy file's JVM options for 192 MB, the platform's memory limit. */
+    private static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Djava.net.preferIPv4Stack=true",
@@ -34,18 +34,18 @@
             "-XX:MaxDirectMemorySize=8m");
 
     private static final double TICKS_PER_SECOND = 100;
-    private static final long READY_WITHIN_NS = TimeUnit.SECONDS.toNanos(30);
-    private static final long READY_LOOK_MS = 10;
+    private static final long READY_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(30);
+    private static final long READY_POLL_INTERVAL_MS = 10;
 
     /**
-     * What the system has accounted to the process since its start; bytes are those of its read and write calls.
+     * The resource usage of the process since its start.
      *
-     * @param cpuSeconds processor time, of the program and of the system for it
-     * @param residentKb memory in RAM now
-     * @param peakKb the most memory in RAM so far
+     * @param cpuSeconds processor time in user and system mode
+     * @param residentKb resident memory now
+     * @param peakKb the peak of resident memory
      * @param descriptors open file descriptors
-     * @param bytesRead bytes of its read calls
-     * @param bytesWritten bytes of its write calls
+     * @param bytesRead bytes returned by its read calls
+     * @param bytesWritten bytes passed to its write calls
      */
     public record Account(
             double cpuSeconds, long residentKb, long peakKb, int descriptors, long bytesRead, long bytesWritten) {}
@@ -54,7 +54,7 @@
     private final InetSocketAddress front;
     private final List<String> log = new CopyOnWriteArrayList<>();
 
-    /** Starts a scheduler by a configuration file and waits until it says that it is ready. */
+    /** Starts a scheduler of this program and waits until it reports that it is ready. */
     public SchedulerProcess(Path configuration) throws IOException, InterruptedException {
         this(configuration, Map.of());
         awaitReady();
@@ -69,15 +69,15 @@
     /**
      * Starts a scheduler; returns once it listens, ready or not.
      *
-     * @param classPath the program, which may be another release
-     * @param configuration its file
-     * @param environment more variables in its environment
+     * @param classPath class path of the program, which may be another release
+     * @param configuration its configuration file
+     * @param environment additional environment variables
      */
     public SchedulerProcess(String classPath, Path configuration, Map<String, String> environment)
             throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElse("java"));
-        command.addAll(BOUNDS);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-cp", classPath, "plumpost.cli.Main", "serve"));
         command.addAll(List.of("--config", configuration.toString()));
         ProcessBuilder builder = new ProcessBuilder(command);
@@ -100,57 +100,57 @@
         drain.start();
     }
 
-    /** Waits until the scheduler answers that it is ready; {@link IOException} where it does not in time. */
+    /** Waits until the scheduler reports that it is ready; throws {@link IOException} after 30 s. */
     public void awaitReady() throws IOException, InterruptedException {
-        for (long begun = System.nanoTime(); !saysReady(); Thread.sleep(READY_LOOK_MS)) {
-            if (System.nanoTime() - begun > READY_WITHIN_NS) {
+        for (long begun = System.nanoTime(); !isReady(); Thread.sleep(READY_POLL_INTERVAL_MS)) {
+            if (System.nanoTime() - begun > READY_TIMEOUT_NS) {
                 throw new IOException("the scheduler is not ready in time: " + log);
             }
         }
     }
 
-    private boolean saysReady() throws IOException {
+    private boolean isReady() throws IOException {
         return get("/health/ready").startsWith("HTTP/1.1 200 ");
     }
 
-    /** The answer to a GET on a connection of its own, as far as it comes in one piece. */
+    /** Sends a GET on a new connection and returns what the first read of the answer yields. */
     public String get(String path) throws IOException {
         try (Socket client = new Socket(front.getAddress(), front.getPort())) {
             client.setSoTimeout(10_000);
             String request = "GET " + path + " HTTP/1.1\r\nHost: s\r\n\r\n";
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             byte[] answer = new byte[64 * 1024];
-            int n = client.getInputStream().read(answer);
-            return new String(answer, 0, Math.max(0, n), StandardCharsets.US_ASCII);
+            int length = client.getInputStream().read(answer);
+            return new String(answer, 0, Math.max(0, length), StandardCharsets.US_ASCII);
         }
     }
 
-    /** Where its clients connect. */
+    /** Returns the address for clients. */
     public InetSocketAddress front() {
         return front;
     }
 
-    /** What it has logged so far, its counters at its end included. */
+    /** Returns the lines logged so far, including the counters that it logs at its end. */
     public List<String> log() {
         return List.copyOf(log);
     }
 
-    /** Its process. */
+    /** Returns the handle of the process. */
     public ProcessHandle handle() {
         return process.toHandle();
     }
 
-    /** Sends SIGTERM: the scheduler is to end in order. */
+    /** Sends SIGTERM, which requests a graceful shutdown. */
     public void terminate() {
         process.toHandle().destroy(); // Process.destroy would close the log as well
     }
 
-    /** Sends SIGHUP: the scheduler is to read its file again. */
+    /** Sends SIGHUP, which makes the scheduler reload its file. */
     public void reload() throws IOException, InterruptedException {
         signal("HUP");
     }
 
-    /** Sends SIGSTOP: nothing of the process runs until {@link #resume}. */
+    /** Sends SIGSTOP, which suspends the process until {@link #resume}. */
     public void suspend() throws IOException, InterruptedException {
         signal("STOP");
     }
@@ -167,12 +167,12 @@
                 .waitFor();
     }
 
-    /** Waits for its end up to a time in milliseconds; its exit code, or -1 where it still runs. */
+    /** Waits up to {@code withinMs} for the exit; returns the exit code, or -1 if the process still runs. */
     public int awaitEnd(long withinMs) throws InterruptedException {
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
     }
 
-    /** What the system has accounted to it. */
+    /** Reads the current resource usage. */
     public Account account() throws IOException {
         Path system = Path.of("/proc", Long.toString(process.pid()));
         String stat = Files.readString(system.resolve("stat"));
--- a/src/main/java/plumpost/lab/scale/CapacityPage.java
+++ b/src/main/java/plumpost/lab/scale/CapacityPage.java
@@ -13,14 +13,14 @@
 import org.knowm.xchart.XYChartBuilder;
 import plumpost.config.Json.BadInput;
 
-/** Writes the tables of docs/CAPACITY.md and its plot from the measurements of a scale run. */
+/** Generates the tables of docs/CAPACITY.md and its plot from the valid measurements of a scale run. */
 final class CapacityPage {
-    /** What a scheduler may spend for control, from the users' list. */
+    /** Limits from the users' requirements on what a scheduler may spend for control. */
     private static final double CPU_LIMIT_PERCENT = 4;
 
     private static final double MEMORY_LIMIT_MB = 128;
     private static final double BYTES_LIMIT_KB_S = 3;
-    /** Sizes of the fleet ahead on the measured axes. */
+    /** Number of workers in the planned fleet. */
     private static final double WORKERS_AHEAD = 17_000;
 
     private static final String BEGIN = "<!-- begin %s -->\n";
@@ -40,14 +40,14 @@
         measurements = all.stream().filter(Measurement::valid).toList();
     }
 
-    /** The page with its tables written anew; all other text stays. */
+    /** Returns the page with its tables regenerated and all other text unchanged. */
     String write(String page) {
-        String written = put(page, "measured", measuredTable());
-        written = put(written, "slopes", slopesTable());
-        return put(written, "limits", limitsTable());
+        String written = replaceTable(page, "measured", measuredTable());
+        written = replaceTable(written, "slopes", slopesTable());
+        return replaceTable(written, "limits", limitsTable());
     }
 
-    private static String put(String page, String name, String table) {
+    private static String replaceTable(String page, String name, String table) {
         String begin = String.format(BEGIN, name);
         String end = String.format(END, name);
         int from = page.indexOf(begin);
@@ -60,7 +60,7 @@
 
     private record Key(String role, String axis) {}
 
-    /** Values of one figure by size, for one role and axis. */
+    /** Returns the values of one figure by size, for one role and axis. */
     private Map<Double, List<Double>> values(Key key, String figure) {
         Map<Double, List<Double>> bySize = new TreeMap<>();
         for (Measurement each : measurements) {
@@ -157,7 +157,7 @@
             if (slope != null) {
                 String shown = measured == null ? "not measured" : spread(measured);
                 double value = measured == null
-                        ? slope.at(WORKERS_AHEAD)
+                        ? slope.costAt(WORKERS_AHEAD)
                         : measured.stream().sorted().toList().get(measured.size() / 2);
                 table.append(String.format(
                         Locale.ROOT,
@@ -166,13 +166,13 @@
                         number(limit),
                         shown,
                         value / limit,
-                        number(slope.at(WORKERS_AHEAD))));
+                        number(slope.costAt(WORKERS_AHEAD))));
             }
         });
         return table.toString();
     }
 
-    /** Plots the module's and the process's cost of a job by the number of workers. */
+    /** Writes a PNG plot of the cost of a job by the number of workers, for the module and for the process. */
     void plot(Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart = new XYChartBuilder()
--- a/src/main/java/plumpost/lab/scale/EmulatedDiscovery.java
+++ b/src/main/java/plumpost/lab/scale/EmulatedDiscovery.java
@@ -18,12 +18,12 @@
 import plumpost.time.Clock;
 import plumpost.time.TimerWheel;
 
-/** The discovery service of a scale run: tells the whole list to each caller, and each change to all that watch. */
+/** The discovery service of a scale run: sends the whole list on each new call, and each change on all open watches. */
 final class EmulatedDiscovery {
     private static final double EMPTY_LINE_MS = 2_000;
-    private static final int MOST_CALLERS = 10_000;
+    private static final int MAX_CONNECTIONS = 10_000;
 
-    private final HollowWorkers workers;
+    private final EmulatedWorkers workers;
     private final int zones;
     private final TimerWheel wheel;
     private final Clock clock;
@@ -32,14 +32,15 @@
     private long version = 1;
     private long changedLines;
 
-    EmulatedDiscovery(SelectorLoop loop, TimerWheel wheel, Clock clock, HollowWorkers workers, int zones)
+    EmulatedDiscovery(SelectorLoop loop, TimerWheel wheel, Clock clock, EmulatedWorkers workers, int zones)
             throws IOException {
         this.workers = workers;
         this.zones = zones;
         this.wheel = wheel;
         this.clock = clock;
         InetSocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        address = loop.listen(anywhere, Call::new, MOST_CALLERS, () -> false).address();
+        address = loop.listen(anywhere, DiscoveryConnection::new, MAX_CONNECTIONS, () -> false)
+                .address();
         sendEmptyLine();
     }
 
@@ -47,12 +48,12 @@
         return address;
     }
 
-    /** Lines of changes that were told to a watch, counted once however many watch. */
+    /** Returns the number of changed lines that were published, each counted once for any number of watches. */
     long changedLines() {
         return changedLines;
     }
 
-    /** Tells all that watch that a worker drains or is up again; one that comes back has started just now. */
+    /** Publishes that a worker drains or is up again; one that is up again has the current time as its start. */
     void change(int worker, boolean up) {
         version++;
         changedLines++;
@@ -78,8 +79,9 @@
     }
 
     private String line(int worker, String health, double startedAtMs) {
-        InetSocketAddress at = workers.address(worker);
-        return "{\"host\":\"w-" + worker + "\",\"dial\":\"" + at.getHostString() + ":" + at.getPort()
+        InetSocketAddress workerAddress = workers.address(worker);
+        return "{\"host\":\"w-" + worker + "\",\"dial\":\"" + workerAddress.getHostString() + ":"
+                + workerAddress.getPort()
                 + "\",\"site\":\"zone-" + worker % zones + "\",\"class\":\"m1\",\"block\":0,\"health\":\"" + health
                 + "\",\"share\":1.0,\"born_ms\":" + (long) startedAtMs + "}";
     }
@@ -88,16 +90,16 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** The names of the zones that the list speaks of. */
+    /** Returns the names of the zones in the list. */
     static List<String> zoneNames(int zones) {
         return IntStream.range(0, zones).mapToObj(zone -> "zone-" + zone).toList();
     }
 
-    private final class Call implements ConnectionHandler {
+    private final class DiscoveryConnection implements ConnectionHandler {
         private final Connection connection;
         private final RequestReader reader = new RequestReader(1024);
 
-        Call(Connection connection) {
+        DiscoveryConnection(Connection connection) {
             this.connection = connection;
         }
 
--- a/src/main/java/plumpost/lab/scale/HollowWorkers.java
+++ b/src/main/java/plumpost/lab/scale/EmulatedWorkers.java
@@ -16,13 +16,13 @@
 import plumpost.time.TimerWheel;
 
 /**
- * Thousands of workers in one process: each has a loopback address of its own and speaks the platform's protocol, and none
- * does any work. A job is taken at once and done after a fixed time; probes are answered with free slots.
+ * Thousands of emulated workers in one process. Each has its own loopback address and speaks the platform's protocol, but does
+ * no work: a job starts at once and is done after a fixed time, and probes are answered with free slots.
  */
-final class HollowWorkers {
+final class EmulatedWorkers {
     private static final int BODY_LIMIT = 64 * 1024;
     private static final int CONNECTIONS_PER_WORKER = 10_000;
-    /** Addresses are 127.1.0.1 and on, with so many in each block. */
+    /** Addresses start at 127.1.0.1, with this many in each block of 256. */
     private static final int ADDRESSES_PER_BLOCK = 250;
 
     private static final String STATS = "HTTP/1.1 200 OK\r\nContent-Length: 23\r\n\r\ninflight=0,queue=0,x0=4";
@@ -34,14 +34,14 @@
     private long jobs;
     private long probes;
 
-    /** Opens so many workers on a loop, each of which takes {@code serviceMs} for a job. */
-    HollowWorkers(SelectorLoop loop, TimerWheel wheel, Clock clock, int count, double serviceMs) throws IOException {
+    /** Opens {@code count} workers on a loop, each of which takes {@code serviceMs} for a job. */
+    EmulatedWorkers(SelectorLoop loop, TimerWheel wheel, Clock clock, int count, double serviceMs) throws IOException {
         this.wheel = wheel;
         this.clock = clock;
         this.serviceMs = serviceMs;
         for (int i = 0; i < count; i++) {
-            InetSocketAddress at = new InetSocketAddress(address(i), 0);
-            addresses.add(loop.listen(at, Job::new, CONNECTIONS_PER_WORKER, () -> false)
+            InetSocketAddress listenAddress = new InetSocketAddress(address(i), 0);
+            addresses.add(loop.listen(listenAddress, WorkerConnection::new, CONNECTIONS_PER_WORKER, () -> false)
                     .address());
         }
     }
@@ -60,23 +60,23 @@
         return addresses.size();
     }
 
-    /** Jobs that were taken. */
+    /** Returns the number of jobs that were accepted. */
     long jobs() {
         return jobs;
     }
 
-    /** Probes that were answered. */
+    /** Returns the number of probes that were answered. */
     long probes() {
         return probes;
     }
 
-    /** One connection, which carries one job or probe at a time. */
-    private final class Job implements ConnectionHandler {
+    /** One connection to a worker, which carries one job or probe at a time. */
+    private final class WorkerConnection implements ConnectionHandler {
         private final Connection connection;
         private final RequestReader reader = new RequestReader(BODY_LIMIT);
         private boolean over;
 
-        Job(Connection connection) {
+        WorkerConnection(Connection connection) {
             this.connection = connection;
         }
 
--- a/src/main/java/plumpost/lab/scale/JobSource.java
+++ b/src/main/java/plumpost/lab/scale/JobSource.java
@@ -13,10 +13,10 @@
 import plumpost.time.Clock;
 import plumpost.time.TimerWheel;
 
-/** Clients of one scheduler on an open loop: jobs come at random moments at a given mean rate, whatever was answered. */
+/** Open-loop clients of one scheduler: jobs arrive at random times at a given mean rate, independently of the answers. */
 final class JobSource {
-    /** The share of jobs that must not run twice. */
-    private static final double ORDERS = 0.29;
+    /** The fraction of jobs that must run at most once. */
+    private static final double ORDER_FRACTION = 0.29;
 
     private final SelectorLoop loop;
     private final TimerWheel wheel;
@@ -55,8 +55,8 @@
         sendDue();
     }
 
-    /** Goes on at another mean rate. */
-    void rate(double perSecond) {
+    /** Changes the mean rate of arrivals. */
+    void setRate(double perSecond) {
         jobsPerSecond = perSecond;
     }
 
@@ -76,7 +76,7 @@
         return refused;
     }
 
-    /** Jobs that were answered as failed, or whose connection broke. */
+    /** Returns the number of jobs that were answered as failed, or whose connection broke. */
     long failed() {
         return failed;
     }
@@ -107,7 +107,7 @@
         }
 
         void send() {
-            String path = random.nextDouble() < ORDERS ? "pickup-order" : "route-plan";
+            String path = random.nextDouble() < ORDER_FRACTION ? "pickup-order" : "route-plan";
             waiting = true;
             connection.write(
                     Answers.ascii("POST /" + path + " HTTP/1.1\r\nHost: s\r\nX-Txn: " + Long.toHexString(sent++)
--- a/src/main/java/plumpost/lab/scale/Measurement.java
+++ b/src/main/java/plumpost/lab/scale/Measurement.java
@@ -12,28 +12,28 @@
 import plumpost.config.Json.Fields;
 
 /**
- * What one play showed of one role at one size.
+ * The figures of one play of one role at one size.
  *
- * @param role what was measured, such as the scheduler's process or its decision module alone
- * @param axis which size was varied; the others stay as the run's plan says
- * @param size the value on that axis
+ * @param role what was measured, such as the scheduler process or its decision module alone
+ * @param axis the size that was varied; the others have the base values of the plan
+ * @param size the value of that size
  * @param play the number of the play, from 0
- * @param valid false where the laboratory itself was the limit, so that the figures do not count
- * @param figures the figures by name, with their units in the names
+ * @param valid false if the laboratory itself was the bottleneck, so that the figures must be ignored
+ * @param figures the figures by name; each name contains the unit
  */
 record Measurement(String role, String axis, double size, int play, boolean valid, Map<String, Double> figures) {
     Measurement {
         figures = new LinkedHashMap<>(figures);
     }
 
-    /** The measurements of a run as JSON, one a line. */
-    static String json(List<Measurement> all, boolean partial) throws IOException {
+    /** Returns the measurements of a run as JSON, one per line; {@code partial} marks an unfinished run. */
+    static String json(List<Measurement> measurements, boolean partial) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
             json.writeStartObject();
             json.writeBooleanField("partial", partial);
             json.writeArrayFieldStart("measurements");
-            for (Measurement each : all) {
+            for (Measurement each : measurements) {
                 json.writeRaw('\n');
                 each.write(json);
             }
@@ -58,15 +58,15 @@
         json.writeEndObject();
     }
 
-    /** Reads what {@link #json} wrote. */
+    /** Reads the output of {@link #json}. */
     static List<Measurement> read(byte[] json) {
-        List<Measurement> all = new ArrayList<>();
+        List<Measurement> measurements = new ArrayList<>();
         for (Object each : Json.object("measurements", json).list("measurements")) {
             Fields fields = Json.fields("measurement", each);
             Map<String, Double> figures = new LinkedHashMap<>();
             Fields given = fields.object("figures");
             given.map().keySet().forEach(name -> figures.put(name, given.number(name)));
-            all.add(new Measurement(
+            measurements.add(new Measurement(
                     fields.text("role"),
                     fields.text("axis"),
                     fields.number("size"),
@@ -74,6 +74,6 @@
                     fields.flag("valid", true),
                     figures));
         }
-        return all;
+        return measurements;
     }
 }
--- a/src/main/java/plumpost/lab/scale/ModuleCost.java
+++ b/src/main/java/plumpost/lab/scale/ModuleCost.java
@@ -14,18 +14,18 @@
 import plumpost.decision.Dispatcher.WorkerEntry;
 import plumpost.decision.Logic;
 
-/** The decision module alone, without I/O: what a job and a changed line of the list cost it, by the number of workers. */
+/** Measures the decision module alone, without I/O: the cost of a job and of a changed line by the number of workers. */
 final class ModuleCost implements Dispatcher.Actions {
     private static final int WARM_UP_JOBS = 300;
     private static final double RUN_MS = 1_000;
     private static final int CHANGES = 40;
 
-    /** A job that was given to a worker, and when it ends. */
+    /** An attempt that was assigned to a worker, and when it ends. */
     private record Running(String job, int attempt, String worker, double endsAt) {}
 
     private final List<Running> running = new ArrayList<>();
-    /** Given to a worker, and not yet told as started. */
-    private final List<Running> fresh = new ArrayList<>();
+    /** Attempts that were assigned and not yet reported as started. */
+    private final List<Running> unstarted = new ArrayList<>();
 
     private final List<Running> cancelled = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
@@ -51,13 +51,13 @@
         return new WorkerEntry("w-" + worker, worker % zones, 0, 0, phase, 1, 0);
     }
 
-    /** Plays jobs at a rate against so many workers; figures in microseconds of processor time. */
+    /** Runs jobs at a rate against {@code workerCount} workers; costs are elapsed microseconds of the measuring thread. */
     static Map<String, Double> measure(
             Dispatcher.Settings settings, int workerCount, double jobsPerSecond, int jobs, long seed) {
         ModuleCost play = new ModuleCost(settings, workerCount, seed);
-        play.jobs(WARM_UP_JOBS, jobsPerSecond);
-        double usPerJob = play.jobs(jobs, jobsPerSecond);
-        double usPerChange = play.changes();
+        play.measureJobs(WARM_UP_JOBS, jobsPerSecond);
+        double usPerJob = play.measureJobs(jobs, jobsPerSecond);
+        double usPerChange = play.measureChanges();
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("us_per_job", usPerJob);
         figures.put("us_per_changed_line", usPerChange);
@@ -65,7 +65,7 @@
         return figures;
     }
 
-    private double jobs(int count, double jobsPerSecond) {
+    private double measureJobs(int count, double jobsPerSecond) {
         long spent = 0;
         for (int i = 0; i < count; i++) {
             now += -Math.log(1 - random.nextDouble()) * 1000 / jobsPerSecond;
@@ -74,9 +74,9 @@
             long begin = System.nanoTime();
             endDue();
             logic.arrived(now, job);
-            answer();
+            reportResults();
             logic.timer(now, 0);
-            answer();
+            reportResults();
             spent += System.nanoTime() - begin;
         }
         return spent / 1e3 / count;
@@ -92,37 +92,37 @@
         }
     }
 
-    private void end(Running each, Ending how) {
-        boolean over = how == Ending.OK;
+    private void end(Running ended, Ending ending) {
+        boolean over = ending == Ending.OK;
         if (over) {
-            attempts.remove(each.job);
+            attempts.remove(ended.job);
         }
-        logic.ended(now, new Dispatcher.Outcome(each.job, each.attempt, each.worker, how, RUN_MS, over, null));
+        logic.ended(now, new Dispatcher.Outcome(ended.job, ended.attempt, ended.worker, ending, RUN_MS, over, null));
     }
 
-    /** Tells the module what its actions lead to at once: probes' results, starts, ends of what it cancelled. */
-    private void answer() {
-        while (!probed.isEmpty() || !fresh.isEmpty() || !cancelled.isEmpty()) {
-            for (String worker : take(probed)) {
+    /** Reports the immediate results of the module's actions to it: probe results, starts and ends of cancelled attempts. */
+    private void reportResults() {
+        while (!probed.isEmpty() || !unstarted.isEmpty() || !cancelled.isEmpty()) {
+            for (String worker : drainList(probed)) {
                 LoadReport report = new LoadReport(0, 0, RUN_MS, Double.NaN, 4, Double.NaN);
                 logic.probed(now, worker, Ending.OK, 1, report);
             }
-            for (Running each : take(fresh)) {
+            for (Running each : drainList(unstarted)) {
                 logic.started(now, each.job, each.attempt, each.worker);
             }
-            for (Running each : take(cancelled)) {
+            for (Running each : drainList(cancelled)) {
                 end(each, Ending.CANCELLED);
             }
         }
     }
 
-    private static <T> List<T> take(List<T> all) {
-        List<T> taken = List.copyOf(all);
-        all.clear();
+    private static <T> List<T> drainList(List<T> list) {
+        List<T> taken = List.copyOf(list);
+        list.clear();
         return taken;
     }
 
-    private double changes() {
+    private double measureChanges() {
         long begin = System.nanoTime();
         for (int i = 0; i < CHANGES; i++) {
             int worker = random.nextInt(workers.size());
@@ -140,7 +140,7 @@
         }
         Running begun = new Running(job, attempt, worker, now + RUN_MS);
         running.add(begun);
-        fresh.add(begun);
+        unstarted.add(begun);
     }
 
     @Override
@@ -170,16 +170,16 @@
 
     @Override
     public void timer(double atMs, long token) {
-        // the module is asked at each job
+        // the module's timer is called at each job
     }
 
     @Override
     public void subscribe() {
-        // the list is told by this play
+        // the measurement provides the list itself
     }
 
     @Override
-    public void log(String words) {
-        // not looked at
+    public void log(String text) {
+        // ignored
     }
 }
--- a/src/main/java/plumpost/lab/scale/ScaleMain.java
+++ b/src/main/java/plumpost/lab/scale/ScaleMain.java
@@ -14,13 +14,13 @@
 import org.apache.commons.cli.ParseException;
 import plumpost.config.Json.BadInput;
 
-/** The command {@code lab scale}: measures what the roles cost by size, or writes the page of it. */
+/** The command {@code lab scale}: measures the cost of each role by size, or updates the capacity page. */
 public final class ScaleMain {
     private static final int DESCRIPTORS_BESIDE_WORKERS = 2_000;
 
     private ScaleMain() {}
 
-    /** Runs the command; 0 where all went as planned, 2 for bad arguments. */
+    /** Runs the command; returns 0 on success, 1 if interrupted, 2 for bad arguments. */
     public static int run(String[] args, PrintStream out, PrintStream err) throws IOException {
         Options options = new Options();
         options.addOption(null, "small", false, "a few seconds with a few workers, to see that it works");
@@ -28,7 +28,7 @@
         options.addOption(null, "json", true, "file for the measurements; the default is target/capacity.json");
         options.addOption(null, "page", true, "writes this page's tables from --json, and measures nothing");
         options.addOption(null, "plot", true, "with --page: file for the plot");
-        options.addOption("h", "help", false, "tells these options");
+        options.addOption("h", "help", false, "prints these options");
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Writes what there is after each play, so that a run that is cut off leaves its figures, marked as partial. */
+    /** Writes the file after each play, so that an interrupted run leaves its figures, marked as partial. */
     private static void measure(ScalePlan plan, Path json, PrintStream out) throws IOException, InterruptedException {
         ScaleRun run = new ScaleRun(plan, out);
         run.run(soFar -> {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Each hollow worker listens on a descriptor of this process. */
+    /** Rejects a plan that needs too many file descriptors: each emulated worker listens on one of this process. */
     static void refuseWhatDoesNotFit(ScalePlan plan) throws IOException {
         int workers = Collections.max(plan.workers());
         long allowed = descriptorsAllowed(Files.readAllLines(Path.of("/proc/self/limits")));
@@ -96,7 +96,7 @@
         }
     }
 
-    /** The soft limit on open files in the text of /proc/self/limits. */
+    /** Returns the soft limit on open files from the lines of /proc/self/limits. */
     static long descriptorsAllowed(List<String> limits) {
         for (String line : limits) {
             if (line.startsWith("Max open files")) {
--- a/src/main/java/plumpost/lab/scale/ScalePlan.java
+++ b/src/main/java/plumpost/lab/scale/ScalePlan.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a scale run measures. Sizes are varied one at a time; the others stay at the base.
+ * The parameters of a scale run. One size is varied at a time while the others keep their base values.
  *
  * @param workers sizes of the list of workers
- * @param jobsPerSecond rates at one scheduler
- * @param changesPerSecond changed lines of the list in each second
+ * @param jobsPerSecond job rates at one scheduler
+ * @param changesPerSecond rates of changed lines of the list
  * @param moduleWorkers sizes of the list for the module alone
- * @param moduleJobs jobs that the module is played with at each size
- * @param plays plays of each size
+ * @param moduleJobs jobs that the module gets at each size
+ * @param plays repetitions of each size
  * @param seconds how long each play of a process is measured
- * @param seed for all draws
+ * @param seed seed of all random draws
  */
 record ScalePlan(
         List<Integer> workers,
@@ -23,18 +23,18 @@
         int plays,
         int seconds,
         long seed) {
-    /** Workers where another size is varied. */
+    /** Number of workers while another size is varied. */
     static final int BASE_WORKERS = 200;
-    /** Jobs a second at one scheduler where another size is varied: 2,400 over a hundred schedulers. */
+    /** Jobs a second at one scheduler while another size is varied: 2,400 over a hundred schedulers. */
     static final double BASE_JOBS_PER_SECOND = 24;
-    /** Schedulers that the settings speak of. */
+    /** Number of schedulers in the settings. */
     static final int SCHEDULERS = 100;
-    /** Zones of the fleet ahead. */
+    /** Number of zones in the planned fleet. */
     static final int ZONES = 27;
-    /** How long a hollow worker takes for a job. */
+    /** Time that an emulated worker takes for a job. */
     static final double SERVICE_MS = 500;
 
-    /** The run behind docs/CAPACITY.md. */
+    /** The run that docs/CAPACITY.md is generated from. */
     static ScalePlan full(long seed) {
         return new ScalePlan(
                 List.of(20, 200, 2_000, 6_000, 17_000),
@@ -47,7 +47,7 @@
                 seed);
     }
 
-    /** A run of some seconds, judged by what it counts and not by times. */
+    /** A run of some seconds that checks counts, not times. */
     static ScalePlan small(long seed) {
         return new ScalePlan(List.of(5, 10), List.of(), List.of(20.0), List.of(5, 10), 50, 1, 2, seed);
     }
--- a/src/main/java/plumpost/lab/scale/ScaleRun.java
+++ b/src/main/java/plumpost/lab/scale/ScaleRun.java
@@ -18,26 +18,26 @@
 import plumpost.time.SystemClock;
 import plumpost.time.TimerWheel;
 
-/** Plays a scale run: the module alone, then real schedulers against hollow workers, one play after the other. */
+/** Performs a scale run: the module alone, then real schedulers with emulated workers, one play after the other. */
 final class ScaleRun {
-    /** The role whose figures are of a scheduler's whole process. */
+    /** The role that measures a scheduler's whole process. */
     static final String SCHEDULER = "scheduler process";
-    /** The role whose figures are of the decision module alone. */
+    /** The role that measures the decision module alone. */
     static final String MODULE = "decision module";
-    /** The same without load reports, where own counts alone tell of room. */
+    /** The decision module without load reports, where it knows free slots only from its own counts. */
     static final String MODULE_WITHOUT_REPORTS = "decision module, no reports";
 
-    /** A process that has served some hundred jobs has its code compiled, as one in service has. */
+    /** Some hundred jobs are served before measuring, so that the code is JIT-compiled as in service. */
     private static final double WARM_UP_JOBS_PER_SECOND = 240;
-    /** Well under what a hollow worker says it has room for, so that no job of the warm-up is given up. */
+    /** Well under the free slots that an emulated worker reports, so that no job of the warm-up is given up. */
     private static final double WARM_UP_JOBS_PER_SECOND_OF_WORKER = 4;
 
     private static final long WARM_UP_MS = 6_000;
     private static final long SETTLE_MS = 2_000;
-    /** Where the laboratory's own loop came later than this, it was the limit. */
-    private static final double MOST_LAG_MS = 100;
-    /** Where the laboratory's process used more of one core than this, it was the limit. */
-    private static final double MOST_OWN_CORE = 0.9;
+    /** If the laboratory's own loop lagged by more than this, the laboratory was the bottleneck. */
+    private static final double MAX_LAB_LAG_MS = 100;
+    /** If the laboratory's process used more than this fraction of one core, it was the bottleneck. */
+    private static final double MAX_LAB_CORES = 0.9;
 
     private final ScalePlan plan;
     private final PrintStream out;
@@ -52,63 +52,65 @@
         return measurements;
     }
 
-    /** Plays all; {@code each} is told of the measurements so far after every play. */
-    void run(Consumer<List<Measurement>> each) throws IOException, InterruptedException {
+    /** Performs all plays; {@code each} receives the measurements so far after every play. */
+    void run(Consumer<List<Measurement>> afterEachPlay) throws IOException, InterruptedException {
         for (int play = 0; play < plan.plays(); play++) {
             for (int workers : plan.moduleWorkers()) {
-                add(module(MODULE, settings("pull"), workers, play), each);
-                add(module(MODULE_WITHOUT_REPORTS, settings("silent"), workers, play), each);
+                add(measureModule(MODULE, settings("pull"), workers, play), afterEachPlay);
+                add(measureModule(MODULE_WITHOUT_REPORTS, settings("silent"), workers, play), afterEachPlay);
             }
             for (int workers : plan.workers()) {
-                add(process("workers", workers, workers, ScalePlan.BASE_JOBS_PER_SECOND, 0, play), each);
+                add(
+                        measureProcess("workers", workers, workers, ScalePlan.BASE_JOBS_PER_SECOND, 0, play),
+                        afterEachPlay);
             }
             for (double rate : plan.jobsPerSecond()) {
-                add(process("jobs a second", rate, ScalePlan.BASE_WORKERS, rate, 0, play), each);
+                add(measureProcess("jobs a second", rate, ScalePlan.BASE_WORKERS, rate, 0, play), afterEachPlay);
             }
             for (double changes : plan.changesPerSecond()) {
                 int workers = Math.min(
                         ScalePlan.BASE_WORKERS * 10,
                         plan.workers().get(plan.workers().size() - 1));
                 double rate = ScalePlan.BASE_JOBS_PER_SECOND;
-                add(process("changed lines a second", changes, workers, rate, changes, play), each);
+                add(measureProcess("changed lines a second", changes, workers, rate, changes, play), afterEachPlay);
             }
         }
     }
 
-    private void add(Measurement measured, Consumer<List<Measurement>> each) {
+    private void add(Measurement measured, Consumer<List<Measurement>> afterEachPlay) {
         measurements.add(measured);
         out.println(measured);
-        each.accept(measurements);
+        afterEachPlay.accept(measurements);
     }
 
-    private Measurement module(String role, String settings, int workers, int play) {
+    private Measurement measureModule(String role, String settings, int workers, int play) {
         var parsed = SettingsReader.settings(Json.object("settings", settings.getBytes(StandardCharsets.UTF_8)));
         Map<String, Double> figures = ModuleCost.measure(
                 parsed, workers, ScalePlan.BASE_JOBS_PER_SECOND, plan.moduleJobs(), plan.seed() + play);
         return new Measurement(role, "workers", workers, play, true, figures);
     }
 
-    private Measurement process(String axis, double size, int workers, double rate, double changes, int play)
+    private Measurement measureProcess(String axis, double size, int workers, double rate, double changes, int play)
             throws IOException, InterruptedException {
-        try (HollowSide hollow = new HollowSide(workers);
-                SchedulerProcess scheduler = new SchedulerProcess(hollow.configuration())) {
+        try (EmulatedFleet emulated = new EmulatedFleet(workers);
+                SchedulerProcess scheduler = new SchedulerProcess(emulated.configuration())) {
             double warmUp = Math.min(WARM_UP_JOBS_PER_SECOND, WARM_UP_JOBS_PER_SECOND_OF_WORKER * workers);
-            JobSource jobs = hollow.startJobs(scheduler, Math.max(rate, warmUp), plan.seed() + play);
+            JobSource jobs = emulated.startJobs(scheduler, Math.max(rate, warmUp), plan.seed() + play);
             Thread.sleep(WARM_UP_MS);
-            hollow.rate(jobs, rate);
-            hollow.startChanges(changes);
+            emulated.rate(jobs, rate);
+            emulated.startChanges(changes);
             Thread.sleep(SETTLE_MS);
-            hollow.resetLag();
+            emulated.resetLag();
             SchedulerProcess.Account before = scheduler.account();
             double ownBefore = ownCpuSeconds();
-            long sentBefore = hollow.on(jobs::sent);
+            long sentBefore = emulated.callOnLoop(jobs::sent);
             Thread.sleep(plan.seconds() * 1000L);
             SchedulerProcess.Account after = scheduler.account();
-            long sent = hollow.on(jobs::sent) - sentBefore;
+            long sent = emulated.callOnLoop(jobs::sent) - sentBefore;
             double ownCores = (ownCpuSeconds() - ownBefore) / plan.seconds();
-            boolean valid = hollow.worstLagMs() < MOST_LAG_MS && ownCores < MOST_OWN_CORE;
-            hollow.stopJobs(jobs);
-            return new Measurement(SCHEDULER, axis, size, play, valid, figures(before, after, sent, jobs, hollow));
+            boolean valid = emulated.worstLagMs() < MAX_LAB_LAG_MS && ownCores < MAX_LAB_CORES;
+            emulated.stopJobs(jobs);
+            return new Measurement(SCHEDULER, axis, size, play, valid, figures(before, after, sent, jobs, emulated));
         }
     }
 
@@ -117,7 +119,7 @@
             SchedulerProcess.Account after,
             long sent,
             JobSource jobs,
-            HollowSide hollow) {
+            EmulatedFleet emulated) {
         double cpu = after.cpuSeconds() - before.cpuSeconds();
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("cpu_percent", 100 * cpu / plan.seconds());
@@ -130,8 +132,8 @@
         figures.put("jobs_served", (double) jobs.served());
         figures.put("jobs_refused", (double) jobs.refused());
         figures.put("jobs_failed", (double) jobs.failed());
-        figures.put("changed_lines", (double) hollow.changedLines());
-        figures.put("lab_lag_ms", hollow.worstLagMs());
+        figures.put("changed_lines", (double) emulated.changedLines());
+        figures.put("lab_lag_ms", emulated.worstLagMs());
         return figures;
     }
 
@@ -141,7 +143,7 @@
         return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0;
     }
 
-    /** The settings of the fleet ahead, as the platform would give them to one scheduler; how load reports come. */
+    /** Returns the settings of the planned fleet for one scheduler; {@code reports} is the way load reports arrive. */
     static String settings(String reports) {
         String zones = String.join("\",\"", EmulatedDiscovery.zoneNames(ScalePlan.ZONES));
         return "{\"balancers\":" + ScalePlan.SCHEDULERS + ",\"index\":0,\"locality\":0,\"dcs\":[\"" + zones
@@ -156,29 +158,29 @@
                 + "\"stopSendingWithinMs\":400.0}}";
     }
 
-    /** Hollow workers, discovery and clients on one loop with a thread of its own. */
-    private final class HollowSide implements AutoCloseable {
-        private final LoopThread player = new LoopThread("hollow side");
-        private final SelectorLoop loop = player.loop();
-        private final TimerWheel wheel = player.wheel();
-        private final SystemClock clock = player.clock();
-        private final HollowWorkers workers;
+    /** Emulated workers, discovery and clients on one loop with its own thread. */
+    private final class EmulatedFleet implements AutoCloseable {
+        private final LoopThread loopThread = new LoopThread("emulated fleet");
+        private final SelectorLoop loop = loopThread.loop();
+        private final TimerWheel wheel = loopThread.wheel();
+        private final SystemClock clock = loopThread.clock();
+        private final EmulatedWorkers workers;
         private final EmulatedDiscovery discovery;
         private final Path folder = Files.createTempDirectory("plumpost-scale");
         private int nextChanged;
 
-        HollowSide(int count) throws IOException {
-            workers = new HollowWorkers(loop, wheel, clock, count, ScalePlan.SERVICE_MS);
+        EmulatedFleet(int count) throws IOException {
+            workers = new EmulatedWorkers(loop, wheel, clock, count, ScalePlan.SERVICE_MS);
             discovery = new EmulatedDiscovery(loop, wheel, clock, workers, ScalePlan.ZONES);
-            player.start();
+            loopThread.start();
         }
 
         double worstLagMs() {
-            return player.worstLagMs();
+            return loopThread.worstLagMs();
         }
 
         void resetLag() {
-            player.resetLag();
+            loopThread.resetLag();
         }
 
         long changedLines() {
@@ -198,23 +200,23 @@
         JobSource startJobs(SchedulerProcess scheduler, double rate, long seed) throws InterruptedException {
             double serviceMs = ScalePlan.SERVICE_MS;
             JobSource jobs = new JobSource(loop, wheel, clock, seed, scheduler.front(), rate, serviceMs);
-            player.run(() -> jobs.start());
+            loopThread.run(() -> jobs.start());
             return jobs;
         }
 
         void rate(JobSource jobs, double perSecond) throws InterruptedException {
-            player.run(() -> jobs.rate(perSecond));
+            loopThread.run(() -> jobs.setRate(perSecond));
         }
 
         void stopJobs(JobSource jobs) throws InterruptedException {
-            player.run(() -> jobs.stop());
-            Thread.sleep((long) (2 * ScalePlan.SERVICE_MS)); // what is out still ends
+            loopThread.run(() -> jobs.stop());
+            Thread.sleep((long) (2 * ScalePlan.SERVICE_MS)); // outstanding jobs still end
         }
 
-        /** Has one worker after the other drain and come back. */
+        /** Makes one worker after the other drain and come back. */
         void startChanges(double linesPerSecond) throws InterruptedException {
             if (linesPerSecond > 0) {
-                player.run(() -> change(1000 / linesPerSecond));
+                loopThread.run(() -> change(1000 / linesPerSecond));
             }
         }
 
@@ -224,14 +226,14 @@
             wheel.at(clock.nowMs() + everyMs, () -> change(everyMs));
         }
 
-        /** Does something on the loop's thread and returns what it gives. */
-        long on(java.util.function.LongSupplier what) throws InterruptedException {
-            return player.on(what::getAsLong);
+        /** Runs an action on the loop's thread and returns its result. */
+        long callOnLoop(java.util.function.LongSupplier action) throws InterruptedException {
+            return loopThread.callOnLoop(action::getAsLong);
         }
 
         @Override
         public void close() throws IOException {
-            player.close();
+            loopThread.close();
             Files.deleteIfExists(folder.resolve("scheduler.json"));
             Files.deleteIfExists(folder);
         }
--- a/src/main/java/plumpost/lab/scale/Slope.java
+++ b/src/main/java/plumpost/lab/scale/Slope.java
@@ -4,12 +4,12 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * A cost as a fixed part and a part that grows with a size, by least squares.
+ * A least-squares fit of a cost as a fixed part and a part that grows with a size.
  *
  * @param form how the second part grows
  * @param fixed the cost at size 0
  * @param slope the cost of each unit of the form
- * @param residual root of the mean square of what the fit leaves, in the cost's own unit
+ * @param residual root mean square error of the fit, in the unit of the cost
  */
 record Slope(Form form, double fixed, double slope, double residual) {
     /** How a cost may grow with a size. */
@@ -19,18 +19,18 @@
         QUADRATIC("n^2", size -> size * size);
 
         final String label;
-        final DoubleUnaryOperator of;
+        final DoubleUnaryOperator term;
 
         Form(String label, DoubleUnaryOperator of) {
             this.label = label;
-            this.of = of;
+            this.term = of;
         }
     }
 
     /** A measured point. */
     record Point(double size, double cost) {}
 
-    /** The form that leaves least, where that is clearly less than a line does; else a line. */
+    /** Returns the form with the smallest residual if it is clearly smaller than that of a line, else the line. */
     static Slope best(List<Point> points) {
         Slope line = fit(points, Form.LINEAR);
         Slope best = line;
@@ -40,25 +40,25 @@
                 best = other;
             }
         }
-        return best.residual < CLEARLY_LESS * line.residual ? best : line;
+        return best.residual < MAX_RESIDUAL_RATIO * line.residual ? best : line;
     }
 
-    /** Another form than a line is only believed where it leaves less than this part of what a line leaves. */
-    private static final double CLEARLY_LESS = 0.7;
+    /** Another form replaces the line only if its residual is less than this fraction of the line's. */
+    private static final double MAX_RESIDUAL_RATIO = 0.7;
 
-    /** The fit of one form. */
+    /** Fits one form to the points. */
     static Slope fit(List<Point> points, Form form) {
         double n = points.size();
         double meanX = 0;
         double meanY = 0;
         for (Point point : points) {
-            meanX += form.of.applyAsDouble(point.size()) / n;
+            meanX += form.term.applyAsDouble(point.size()) / n;
             meanY += point.cost() / n;
         }
         double xx = 0;
         double xy = 0;
         for (Point point : points) {
-            double x = form.of.applyAsDouble(point.size()) - meanX;
+            double x = form.term.applyAsDouble(point.size()) - meanX;
             xx += x * x;
             xy += x * (point.cost() - meanY);
         }
@@ -66,14 +66,14 @@
         double fixed = meanY - slope * meanX;
         double squares = 0;
         for (Point point : points) {
-            double left = point.cost() - fixed - slope * form.of.applyAsDouble(point.size());
+            double left = point.cost() - fixed - slope * form.term.applyAsDouble(point.size());
             squares += left * left;
         }
         return new Slope(form, fixed, slope, Math.sqrt(squares / Math.max(1, n)));
     }
 
-    /** The cost that the fit gives for a size. */
-    double at(double size) {
-        return fixed + slope * form.of.applyAsDouble(size);
+    /** Returns the cost that the fit predicts for a size. */
+    double costAt(double size) {
+        return fixed + slope * form.term.applyAsDouble(size);
     }
 }
--- a/src/main/java/plumpost/lab/soak/SoakRun.java
+++ b/src/main/java/plumpost/lab/soak/SoakRun.java
@@ -85,7 +85,7 @@
         labLoop.start();
         for (int i = 0; i < plan.schedulers(); i++) {
             int index = i;
-            String address = "127.0.0.1:" + labLoop.on(() -> discoveryPort(index));
+            String address = "127.0.0.1:" + labLoop.callOnLoop(() -> discoveryPort(index));
             slots.add(new SchedulerSlot(i, plan, address, folder.resolve("s" + i), this));
         }
         for (SchedulerSlot slot : slots) {
@@ -201,7 +201,7 @@
     }
 
     private void operatorCalls(SchedulerSlot slot, Fault fault) throws InterruptedException {
-        String worker = labLoop.on(() -> {
+        String worker = labLoop.callOnLoop(() -> {
             List<Worker> up = workers.serving();
             return up.get((int) (fault.size * up.size())).name();
         });
@@ -264,7 +264,7 @@
 
     @Override
     public String knownWorkers() throws InterruptedException {
-        return labLoop.on(discovery::wholeList);
+        return labLoop.callOnLoop(discovery::wholeList);
     }
 
     @Override
@@ -279,7 +279,7 @@
 
     @Override
     public void recordViolation(Oracle.Rule rule, String detail) {
-        labLoop.later(() -> oracle.recordViolation(rule, detail));
+        labLoop.runLater(() -> oracle.recordViolation(rule, detail));
     }
 
     @Override
--- a/src/test/java/plumpost/lab/ConformanceTest.java
+++ b/src/test/java/plumpost/lab/ConformanceTest.java
@@ -28,7 +28,7 @@
 
 /** The conformance suite, against plumpost in memory and over TCP. */
 class ConformanceTest {
-    /** The set-ups that cases name, as an operator's section {@code gearman}. */
+    /** The common part of the set-ups that cases name, in the form of the {@code gearman} section of the settings. */
     private static final String RULES = "\"listen\":\"127.0.0.1:0\",\"functions\":[{\"match\":\"order-*\",\"class\":"
             + "\"pickup-order\"},{\"match\":\"plan*\",\"class\":\"route-plan\"}]";
 
@@ -51,36 +51,38 @@
         return Conformance.cases(on -> true).stream();
     }
 
-    /** Guards each case in memory, byte by byte, on a clock that stands still between steps. */
+    /** Runs each case in memory, on a clock that stands still between steps. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("cases")
-    void inMemory(Script.Case c) {
-        Scenario s = new Scenario(
-                0, Scenario.SETTINGS.replace("\"coldMs\":400.0", "\"coldMs\":0.0"), 1024, setUp(c.on()), 64);
-        assertThat(Conformance.play(c, s.rig(), 2000, "1").failure()).isNull();
-        assertThat(s.counters.toString()).doesNotContain("guard.").doesNotContain("fault");
+    void inMemory(Script.Case testCase) {
+        Scenario scenario = new Scenario(
+                0, Scenario.SETTINGS.replace("\"coldMs\":400.0", "\"coldMs\":0.0"), 1024, setUp(testCase.on()), 64);
+        assertThat(Conformance.play(testCase, scenario.rig(), 2000, "1").failure())
+                .isNull();
+        assertThat(scenario.counters.toString()).doesNotContain("guard.").doesNotContain("fault");
     }
 
-    /** Guards the same over real sockets, many cases at once on one server. */
+    /** Runs the cases over real sockets, many of them concurrently on one server. */
     @Test
     void overTcp() throws Exception {
         List<Conformance.Result> results = new ArrayList<>();
         for (String part : List.of("usual", "usual priority.plug", "open", "tight")) {
-            String on = part.split(" ")[0];
-            // Other cases' jobs that run out of time press the module for a while, which shifts keys: order is apart.
-            boolean order = part.contains(" ");
-            try (LabServer server = new LabServer(setUp(on), 0)) {
+            String setup = part.split(" ")[0];
+            // Jobs of other cases that time out load the module for a while, which shifts keys: priority cases run
+            // apart.
+            boolean priorityCases = part.contains(" ");
+            try (LabServer server = new LabServer(setUp(setup), 0)) {
                 ExecutorService pool = Executors.newFixedThreadPool(24);
                 List<Future<Conformance.Result>> running = new ArrayList<>();
-                int n = 0;
-                for (Script.Case c : Conformance.cases(on::equals)) {
-                    if (order != c.steps().get(0).place().startsWith("priority.plug")) {
+                int caseNumber = 0;
+                for (Script.Case testCase : Conformance.cases(setup::equals)) {
+                    if (priorityCases != testCase.steps().get(0).place().startsWith("priority.plug")) {
                         continue;
                     }
-                    String mark = on + n++;
+                    String mark = setup + caseNumber++;
                     running.add(pool.submit(() -> {
                         try (TcpRig rig = new TcpRig(server.address())) {
-                            return Conformance.play(c, rig, 3000, mark);
+                            return Conformance.play(testCase, rig, 3000, mark);
                         }
                     }));
                 }
@@ -97,7 +99,7 @@
         assertThat(results).hasSizeGreaterThanOrEqualTo(150);
     }
 
-    /** Guards that no packet type and no admin line is left out. */
+    /** Every packet type and every admin line must be covered by a case. */
     @Test
     void everyPacketTypeAndAdminLineIsCovered() {
         Set<String> covered = cases().flatMap(c -> c.covers().stream())
@@ -122,9 +124,9 @@
                         "shutdown graceful");
     }
 
-    /** Guards that a suite which nothing answers to fails: no case may hold on a server that is silent. */
+    /** No case may pass against a server that never answers. */
     @Test
-    void aSilentServerHoldsNoCase() {
+    void silentServerPassesNoCase() {
         Rig silent = new Rig() {
             @Override
             public void send(String who, byte[] bytes) {}
@@ -144,7 +146,7 @@
                 .isEmpty();
     }
 
-    /** Guards the errors' place: line and column of what is wrong. */
+    /** A script error must name the line and column of the mistake. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -155,10 +157,10 @@
                 "plug1 wait x|line 2 column 12",
                 "repeat 1.5 {\n}|line 2 column 1"
             })
-    void mistakesAreToldByLineAndColumn(String textAndPlace) {
-        String[] w = textAndPlace.split("\\|");
-        assertThatThrownBy(() -> Script.parse("t", "# a comment\n" + w[0]))
+    void scriptErrorsNameLineAndColumn(String textAndPlace) {
+        String[] parts = textAndPlace.split("\\|");
+        assertThatThrownBy(() -> Script.parse("t", "# a comment\n" + parts[0]))
                 .isInstanceOf(Script.BadScript.class)
-                .hasMessageContaining("t " + w[1]);
+                .hasMessageContaining("t " + parts[1]);
     }
 }
--- a/src/test/java/plumpost/lab/FaultsTest.java
+++ b/src/test/java/plumpost/lab/FaultsTest.java
@@ -15,7 +15,7 @@
 import plumpost.lab.gearman.LoadRun;
 import plumpost.lab.gearman.ServiceTime;
 
-/** The laboratory's load with faults against a front on loopback, audited; the long run of it is in docs/gearman.md. */
+/** Audited load with injected faults against a front on loopback; docs/gearman.md describes the long run. */
 class FaultsTest {
     private static LoadPlan plan(LabServer server, long seed, int jobs, double faults) {
         return new LoadPlan(
@@ -42,16 +42,16 @@
         return new LoadRun(plan).run(new PrintStream(OutputStream.nullOutputStream()), new LoadRun.ServerMeter(0));
     }
 
-    /** Guards the rules with all faults at once: one final answer each, no order twice, no results mixed, drains kept. */
+    /** Under all faults: one final answer for each submit, no order twice, no mixed results, no jobs after a drain. */
     @Test
-    void theRulesHoldUnderAllFaultsAtOnce() throws Exception {
+    void rulesHoldUnderAllFaultsAtOnce() throws Exception {
         try (LabServer server = new LabServer(ConformanceTest.setUp("usual"), 100)) {
-            LoadResult r = run(plan(server, 5, 6000, 0.08));
-            assertThat(r.examples()).isEmpty();
-            assertThat(r.broken()).isZero();
-            assertThat(r.ended()).isGreaterThanOrEqualTo(r.begun()).isGreaterThanOrEqualTo(6000);
+            LoadResult result = run(plan(server, 5, 6000, 0.08));
+            assertThat(result.examples()).isEmpty();
+            assertThat(result.broken()).isZero();
+            assertThat(result.ended()).isGreaterThanOrEqualTo(result.begun()).isGreaterThanOrEqualTo(6000);
             assertThat(server.counters.toString()).doesNotContain("guard.").doesNotContain("net.fault");
-            assertThat(r.counts().keySet())
+            assertThat(result.counts().keySet())
                     .as("every kind of fault was drawn")
                     .contains(
                             "fault DROP",
@@ -65,17 +65,17 @@
                             "fault LEAVE",
                             "fault RESUBMIT",
                             "fault HALF");
-            assertThat(r.endings().get("WORK_COMPLETE")).isGreaterThan(4000);
+            assertThat(result.endings().get("WORK_COMPLETE")).isGreaterThan(4000);
         }
     }
 
-    /** Guards the report's two forms. */
+    /** Checks the two forms of the report. */
     @Test
-    void aRunIsReportedAsJsonAndAsAPage(@TempDir Path folder) throws Exception {
+    void runIsReportedAsJsonAndAsHtmlPage(@TempDir Path folder) throws Exception {
         try (LabServer server = new LabServer(ConformanceTest.setUp("usual"), 0)) {
-            LoadResult r = run(plan(server, 6, 300, 0));
-            assertThat(r.json()).contains("\"broken\" : 0", "\"p99.9\"", "\"endings\"");
-            String page = LoadPage.html(r);
+            LoadResult result = run(plan(server, 6, 300, 0));
+            assertThat(result.json()).contains("\"broken\" : 0", "\"p99.9\"", "\"endings\"");
+            String page = LoadPage.html(result);
             assertThat(page).contains("rules broken<td>0", "data:image/png;base64,");
             Path json = folder.resolve("r.json");
             int code = LabMain.run(
@@ -97,11 +97,11 @@
         }
     }
 
-    /** Guards the audit itself: a front that answers twice, mixes results or loses answers must be told. */
+    /** The audit must detect a server that answers twice, mixes results or loses answers. */
     @Test
-    void theAuditFindsABrokenServer() throws Exception {
-        try (LyingServer server = new LyingServer()) {
-            LoadResult r = new LoadRun(new LoadPlan(
+    void auditDetectsABrokenServer() throws Exception {
+        try (MisbehavingServer server = new MisbehavingServer()) {
+            LoadResult result = new LoadRun(new LoadPlan(
                             server.address(),
                             7,
                             1,
@@ -120,7 +120,7 @@
                             0.3,
                             1))
                     .run(new PrintStream(OutputStream.nullOutputStream()), new LoadRun.ServerMeter(0));
-            assertThat(r.counts().keySet())
+            assertThat(result.counts().keySet())
                     .contains(
                             "broken: no final answer",
                             "broken: a final packet for nothing",
--- a/src/test/java/plumpost/lab/LabServer.java
+++ b/src/test/java/plumpost/lab/LabServer.java
@@ -18,12 +18,12 @@
 import plumpost.time.SystemClock;
 import plumpost.time.TimerWheel;
 
-/** A Gearman front on a loopback port that the system gives, on a thread and a core of its own. */
+/** A Gearman front on a free loopback port, with its own thread and dispatch core. */
 final class LabServer implements AutoCloseable {
     final Counters counters = new Counters();
     private final InetSocketAddress address;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     LabServer(GearmanConfig config, double coldMs) throws IOException {
         String settings = Scenario.SETTINGS.replace("\"coldMs\":400.0", "\"coldMs\":" + coldMs);
@@ -33,7 +33,7 @@
         SelectorLoop loop = new SelectorLoop(clock, wheel, counters, words -> {});
         NodeConfig node =
                 new NodeConfig("lab", null, null, 7, 4096, SettingsReader.settings(raw), raw, raw, config, null, null);
-        DispatchCore room = new DispatchCore(
+        DispatchCore core = new DispatchCore(
                 node.settings(),
                 7,
                 clock,
@@ -42,18 +42,18 @@
                 new DispatchCore.Bounds(
                         200_000, 64 << 20, 100_000, 64 << 20, config.limits().packetBytes()),
                 words -> {});
-        GearmanFront door =
-                new GearmanFront(node, "0", room, new LoopContext(loop, clock, wheel, counters, words -> {}), () -> {});
-        InetSocketAddress[] at = new InetSocketAddress[1];
-        door.open((to, users, most, batched, unread, shed) -> at[0] = loop.listen(
+        GearmanFront front =
+                new GearmanFront(node, "0", core, new LoopContext(loop, clock, wheel, counters, words -> {}), () -> {});
+        InetSocketAddress[] listening = new InetSocketAddress[1];
+        front.open((to, users, most, batched, unread, shed) -> listening[0] = loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), users, most, unread, shed)
                 .batched()
                 .address());
-        address = at[0];
+        address = listening[0];
         Thread thread = new Thread(
                 () -> {
                     try {
-                        loop.run(() -> over);
+                        loop.run(() -> stopped);
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     } finally {
@@ -71,7 +71,7 @@
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         try {
             ended.await();
         } catch (InterruptedException e) {
--- a/src/test/java/plumpost/lab/LyingServer.java
+++ b/src/test/java/plumpost/lab/MisbehavingServer.java
@@ -10,12 +10,12 @@
 import plumpost.gearman.Packet.Type;
 import plumpost.gearman.PacketReader;
 
-/** A server that breaks the rules on purpose: every third answer is lost, given twice, or another job's. */
-final class LyingServer implements AutoCloseable {
+/** A server that breaks the rules: it answers jobs twice, once or not at all, in turn, and always with a wrong result. */
+final class MisbehavingServer implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
 
-    LyingServer() throws IOException {
-        Thread thread = new Thread(this::serve, "lying-server");
+    MisbehavingServer() throws IOException {
+        Thread thread = new Thread(this::serve, "misbehaving-server");
         thread.setDaemon(true);
         thread.start();
     }
@@ -26,19 +26,19 @@
 
     private void serve() {
         PacketReader reader = new PacketReader(Packet.REQUEST, false, 1 << 20);
-        try (Socket s = listener.accept()) {
-            byte[] some = new byte[4096];
+        try (Socket socket = listener.accept()) {
+            byte[] received = new byte[4096];
             int jobs = 0;
-            for (int n = s.getInputStream().read(some);
-                    n >= 0;
-                    n = s.getInputStream().read(some)) {
-                ByteBuffer in = ByteBuffer.wrap(some, 0, n);
-                for (Packet p = reader.next(in); p != null; p = reader.next(in)) {
-                    if (p.type() == Type.SUBMIT_JOB) {
+            for (int length = socket.getInputStream().read(received);
+                    length >= 0;
+                    length = socket.getInputStream().read(received)) {
+                ByteBuffer in = ByteBuffer.wrap(received, 0, length);
+                for (Packet packet = reader.next(in); packet != null; packet = reader.next(in)) {
+                    if (packet.type() == Type.SUBMIT_JOB) {
                         String handle = "H:lie:" + jobs;
-                        write(s, Type.JOB_CREATED, handle);
-                        for (int i = jobs % 3; i < 2; i++) { // twice, once or not at all, and never the right result
-                            write(s, Type.WORK_COMPLETE, handle, "nobody's");
+                        write(socket, Type.JOB_CREATED, handle);
+                        for (int i = jobs % 3; i < 2; i++) { // twice, once or not at all, always with a wrong result
+                            write(socket, Type.WORK_COMPLETE, handle, "nobody's");
                         }
                         jobs++;
                     }
@@ -49,9 +49,9 @@
         }
     }
 
-    private static void write(Socket s, Type type, Object... arguments) throws IOException {
+    private static void write(Socket socket, Type type, Object... arguments) throws IOException {
         for (ByteBuffer b : Packet.bytes(Packet.RESPONSE, type, arguments)) {
-            s.getOutputStream().write(b.array(), b.position(), b.remaining());
+            socket.getOutputStream().write(b.array(), b.position(), b.remaining());
         }
     }
 
--- a/src/test/java/plumpost/lab/scale/CapacityPageTest.java
+++ b/src/test/java/plumpost/lab/scale/CapacityPageTest.java
@@ -15,18 +15,18 @@
 import plumpost.config.Json.BadInput;
 import plumpost.lab.LabMain;
 
-/** The capacity page: its tables are those of the measurements beside it, and wrong arguments are told. */
+/** Checks that the capacity page matches its measurements and that bad arguments are reported. */
 class CapacityPageTest {
-    /** Guards the page against figures that no run gave. */
+    /** The page must contain no figures other than those of its measurements. */
     @Test
-    void thePagesTablesAreThoseOfItsMeasurements() throws IOException {
+    void pageTablesMatchItsMeasurements() throws IOException {
         List<Measurement> measured = Measurement.read(Files.readAllBytes(Path.of("docs/capacity.json")));
         String page = Files.readString(Path.of("docs/CAPACITY.md"));
         assertThat(new CapacityPage(measured).write(page)).isEqualTo(page);
     }
 
     @Test
-    void measurementsAreReadAsTheyWereWritten() throws IOException {
+    void measurementsSurviveWritingAndReading() throws IOException {
         List<Measurement> some = List.of(
                 new Measurement("a", "workers", 20, 0, true, Map.of("us_per_job", 1.5)),
                 new Measurement("a", "workers", 200, 1, false, Map.of()));
@@ -35,9 +35,9 @@
         assertThat(new String(json, StandardCharsets.UTF_8)).contains("\"partial\":true");
     }
 
-    /** Guards the tables: what the laboratory was the limit of does not count. */
+    /** Measurements with the laboratory as the bottleneck must not be counted. */
     @Test
-    void whatIsNotValidIsLeftOut() {
+    void invalidMeasurementsAreLeftOut() {
         String page = "<!-- begin measured -->\n<!-- end measured -->\n<!-- begin slopes -->\n<!-- end slopes -->\n"
                 + "<!-- begin limits -->\n<!-- end limits -->\n";
         String written = new CapacityPage(List.of(
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void descriptorsThatTheMachineAllowsAreRead() {
+    void descriptorLimitIsReadFromProcLimits() {
         assertThat(ScaleMain.descriptorsAllowed(List.of(
                         "Max processes 5 5", "Max open files            1024                 4096        files")))
                 .isEqualTo(1024);
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void badArgumentsAreTold() throws IOException {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        PrintStream err = new PrintStream(told, true, StandardCharsets.UTF_8);
+    void badArgumentsAreReported() throws IOException {
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
+        PrintStream err = new PrintStream(errors, true, StandardCharsets.UTF_8);
         assertThat(LabMain.run(new String[] {"scale", "--seed", "x"}, System.out, err))
                 .isEqualTo(2);
         assertThat(LabMain.run(new String[] {"scale", "--sise", "4"}, System.out, err))
                 .isEqualTo(2);
-        assertThat(told.toString(StandardCharsets.UTF_8)).contains("--seed is x, not a whole number", "--sise");
+        assertThat(errors.toString(StandardCharsets.UTF_8)).contains("--seed is x, not a whole number", "--sise");
         assertThat(LabMain.run(new String[] {"scale", "--help"}, System.out, err))
                 .isZero();
     }
--- a/src/test/java/plumpost/lab/scale/ScaleRunIT.java
+++ b/src/test/java/plumpost/lab/scale/ScaleRunIT.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A scale run of a few seconds with a real scheduler, judged by what it counts. */
+/** A scale run of a few seconds with a real scheduler; checks counts, not times. */
 class ScaleRunIT {
     @Test
     @Timeout(120)
     void aSmallRunServesItsJobsAndMeasuresEachSize() throws Exception {
         ScalePlan plan = ScalePlan.small(1);
         ScaleRun run = new ScaleRun(plan, new PrintStream(OutputStream.nullOutputStream()));
-        List<Integer> told = new ArrayList<>();
-        run.run(soFar -> told.add(soFar.size()));
-        assertThat(told).as("each play is told as it ends").containsExactly(1, 2, 3, 4, 5, 6, 7);
+        List<Integer> counts = new ArrayList<>();
+        run.run(soFar -> counts.add(soFar.size()));
+        assertThat(counts).as("each play is told as it ends").containsExactly(1, 2, 3, 4, 5, 6, 7);
         assertThat(run.measurements())
                 .extracting(Measurement::role, Measurement::axis, Measurement::size)
                 .containsExactly(
--- a/src/test/java/plumpost/lab/scale/SlopeTest.java
+++ b/src/test/java/plumpost/lab/scale/SlopeTest.java
@@ -8,7 +8,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Fits of costs that are known: the form, both parts and what is left. */
+/** Checks the fitted form and coefficients for known costs. */
 class SlopeTest {
     private static final double[] SIZES = {20, 200, 2_000, 17_000};
 
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void aLineIsALine() {
+    void linearCostsGiveALinearFit() {
         Slope slope = Slope.best(points(size -> 30 + 0.09 * size));
         assertThat(slope.form()).isEqualTo(Slope.Form.LINEAR);
         assertThat(slope.slope()).isCloseTo(0.09, within(0.001));
         assertThat(slope.fixed()).isCloseTo(30, within(1.0));
-        assertThat(slope.at(17_000)).isCloseTo(1_560, within(20.0));
+        assertThat(slope.costAt(17_000)).isCloseTo(1_560, within(20.0));
     }
 
     @Test
