--- a/src/main/java/plumpost/lab/gearman/LoadWorker.java
+++ b/src/main/java/plumpost/lab/gearman/LoadWorker.java
@@ -22,7 +22,7 @@
     private Connection connection;
     private ByteBuffer handle;
     private String lastHandle = "H:none:0";
-    private boolean ignoresNextWakeUp;
+    private boolean delaysNextWakeUp;
     private boolean connected;
     private double drainedAt = Double.NaN;
 
@@ -79,8 +79,8 @@
     }
 
     private void wake() {
-        if (ignoresNextWakeUp) {
-            ignoresNextWakeUp = false;
+        if (delaysNextWakeUp) {
+            delaysNextWakeUp = false;
             loadThread.schedule(SLEEP_MS, () -> send(Type.GRAB_JOB_UNIQ));
         } else {
             send(Type.GRAB_JOB_UNIQ);
@@ -174,7 +174,7 @@
                 }
             });
         }
-        ignoresNextWakeUp = fault == Fault.SLEEP;
+        delaysNextWakeUp = fault == Fault.SLEEP;
         lastHandle = new String(copy(jobHandle), java.nio.charset.StandardCharsets.US_ASCII);
         send(Type.GRAB_JOB_UNIQ);
     }
--- a/src/main/java/plumpost/lab/scale/EmulatedWorkers.java
+++ b/src/main/java/plumpost/lab/scale/EmulatedWorkers.java
@@ -74,7 +74,7 @@
     private final class WorkerConnection implements ConnectionHandler {
         private final Connection connection;
         private final RequestReader reader = new RequestReader(BODY_LIMIT);
-        private boolean over;
+        private boolean closed;
 
         WorkerConnection(Connection connection) {
             this.connection = connection;
@@ -83,12 +83,12 @@
         @Override
         public void bytes(ByteBuffer in) {
             try {
-                while (!over && in.hasRemaining() && reader.feed(in)) {
+                while (!closed && in.hasRemaining() && reader.feed(in)) {
                     request();
                     reader.next();
                 }
             } catch (BadMessage e) {
-                over = true;
+                closed = true;
                 connection.cut();
             }
         }
@@ -104,7 +104,7 @@
             connection.write(Answers.ascii(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(id, "\"state\":\"started\"")));
             wheel.at(clock.nowMs() + serviceMs, () -> {
-                if (!over) {
+                if (!closed) {
                     String done = chunk(id, "\"state\":\"done\",\"result\":\"done\"");
                     connection.write(Answers.ascii(done + "0\r\n\r\n"));
                 }
@@ -118,7 +118,7 @@
 
         @Override
         public void ended() {
-            over = true;
+            closed = true;
         }
     }
 }
--- a/src/main/java/plumpost/lab/scale/ModuleCost.java
+++ b/src/main/java/plumpost/lab/scale/ModuleCost.java
@@ -93,11 +93,12 @@
     }
 
     private void end(Running ended, Ending ending) {
-        boolean over = ending == Ending.OK;
-        if (over) {
+        boolean completed = ending == Ending.OK;
+        if (completed) {
             attempts.remove(ended.job);
         }
-        logic.ended(now, new Dispatcher.Outcome(ended.job, ended.attempt, ended.worker, ending, RUN_MS, over, null));
+        logic.ended(
+                now, new Dispatcher.Outcome(ended.job, ended.attempt, ended.worker, ending, RUN_MS, completed, null));
     }
 
     /** Reports the immediate results of the module's actions to it: probe results, starts and ends of cancelled attempts. */
--- a/src/main/java/plumpost/lab/soak/SchedulerSlot.java
+++ b/src/main/java/plumpost/lab/soak/SchedulerSlot.java
@@ -53,8 +53,8 @@
     private SchedulerProcess process;
     private SchedulerRun currentRun;
     private int runCount;
-    private boolean changing;
-    private boolean breaking;
+    private boolean changeInProgress;
+    private boolean breakingConnections;
     private final AtomicBoolean holdingUp = new AtomicBoolean();
 
     SchedulerSlot(int index, SoakPlan plan, String discovery, Path folder, Events events)
@@ -79,13 +79,13 @@
 
     /** Begins a change of the process; returns false if another one is in progress. */
     private synchronized boolean tryBeginChange() {
-        boolean begun = !changing;
-        changing = true;
+        boolean begun = !changeInProgress;
+        changeInProgress = true;
         return begun;
     }
 
     private synchronized void endChange() {
-        changing = false;
+        changeInProgress = false;
     }
 
     void start() throws IOException, InterruptedException {
@@ -101,7 +101,7 @@
                     Oracle.Rule.CRASH, "scheduler " + index + " was ready only after " + Math.round(tookMs) + " ms");
         }
         SchedulerRun started = new SchedulerRun(index, runCount++, process.front(), events.nowMs());
-        started.connectionsMayBreak = breaking;
+        started.connectionsMayBreak = breakingConnections;
         currentRun = started;
         events.onReady(started);
         SchedulerProcess startedProcess = process;
@@ -137,9 +137,9 @@
             }
             process.kill();
             process.awaitEnd(KILL_AFTER_MS);
-            double over = events.nowMs();
+            double endedAt = events.nowMs();
             events.runOnLoop(() -> {
-                ending.endedAt = over;
+                ending.endedAt = endedAt;
                 ending.endedCleanly = code == 0;
             });
             Thread.sleep(pauseMs);
@@ -169,9 +169,9 @@
 
     /** Makes a fraction of all reads and writes fail with a broken connection from now on, also in later processes. */
     void breakConnections(double fraction) throws InterruptedException {
-        breaking = fraction > 0;
+        breakingConnections = fraction > 0;
         SchedulerRun affected = currentRun;
-        if (breaking) {
+        if (breakingConnections) {
             events.runOnLoop(() -> affected.connectionsMayBreak = true);
         }
         faults.breakConnections(fraction);
@@ -186,10 +186,10 @@
             return;
         }
         for (long left = forMs; left > 0; left -= lengthMs + gapMs) {
-            SchedulerProcess mine = process;
-            mine.suspend();
+            SchedulerProcess suspended = process;
+            suspended.suspend();
             Thread.sleep(lengthMs);
-            mine.resume();
+            suspended.resume();
             Thread.sleep(gapMs);
         }
         holdingUp.set(false);
--- a/src/main/java/plumpost/lab/soak/SoakMain.java
+++ b/src/main/java/plumpost/lab/soak/SoakMain.java
@@ -69,17 +69,17 @@
     }
 
     private static Set<FaultKind> kinds(CommandLine line) throws ParseException {
-        Set<FaultKind> all = EnumSet.allOf(FaultKind.class);
+        Set<FaultKind> allKinds = EnumSet.allOf(FaultKind.class);
         String given = line.getOptionValue("kinds");
         if (given == null) {
-            return all;
+            return allKinds;
         }
         Set<FaultKind> kinds = EnumSet.noneOf(FaultKind.class);
         for (String name : given.split(",")) {
-            kinds.add(all.stream()
+            kinds.add(allKinds.stream()
                     .filter(kind -> kind.name().equalsIgnoreCase(name.replace('-', '_')))
                     .findFirst()
-                    .orElseThrow(() -> new ParseException("--kinds names " + name + ", not one of " + all)));
+                    .orElseThrow(() -> new ParseException("--kinds names " + name + ", not one of " + allKinds)));
         }
         return kinds;
     }
--- a/src/main/java/plumpost/lab/soak/SoakWorkers.java
+++ b/src/main/java/plumpost/lab/soak/SoakWorkers.java
@@ -131,11 +131,11 @@
             });
         }
 
-        /** Crashes: resets its connections and refuses new ones; the list drops it {@code toldAfterMs} later. */
-        void crash(double toldAfterMs) {
+        /** Crashes: resets its connections and refuses new ones; the list drops it {@code listedAfterMs} later. */
+        void crash(double listedAfterMs) {
             listener.close();
             List.copyOf(connections).forEach(WorkerConnection::cut);
-            wheel.at(clock.nowMs() + toldAfterMs, () -> {
+            wheel.at(clock.nowMs() + listedAfterMs, () -> {
                 state = "removed";
                 discovery.publishChange(this);
             });
--- a/src/test/java/plumpost/lab/LabServer.java
+++ b/src/test/java/plumpost/lab/LabServer.java
@@ -45,8 +45,8 @@
         GearmanFront front =
                 new GearmanFront(node, "0", core, new LoopContext(loop, clock, wheel, counters, words -> {}), () -> {});
         InetSocketAddress[] listening = new InetSocketAddress[1];
-        front.open((to, users, most, batched, unread, shed) -> listening[0] = loop.listen(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), users, most, unread, shed)
+        front.open((to, users, maxConnections, batched, unread, shed) -> listening[0] = loop.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), users, maxConnections, unread, shed)
                 .batched()
                 .address());
         address = listening[0];
