--- a/src/test/java/plumpost/Scenario.java
+++ b/src/test/java/plumpost/Scenario.java
@@ -32,23 +32,23 @@
 import plumpost.time.TimerWheel;
 
 /**
- * The one helper of the scenarios: a whole scheduler in memory, with a clock that stands still between steps. A
- * scenario is lines of {@code who verb words}:
+ * Runs a whole scheduler in memory for scenario tests, with a clock that advances only in {@code wait} steps and when
+ * a node expects an order. Each line of a scenario is {@code peer verb arguments}:
  *
  * <pre>
- * desk1 send POST /route-plan a 8000 body    a front desk's request; "..." sends raw bytes
- * desk1 expect 200 body                      what the scheduler wrote, with * for anything; closed; nothing
- * node1 send done a result                   a line of a route node's answer; likewise other states
- * list send {"seq":...}                      a line of the node list's watch
- * plug1 send SUBMIT_JOB|route-plan|u|data    a Gearman packet; text: sends an admin's line
- * ops1 send POST /control/workers/node1/offline   an operators' call
- * node1 close                                ends the connection, or refuses the ones to come
- * node1 wait                                 new connections hang; with a number, take so many bytes
- * wait 100                                   milliseconds pass
+ * desk1 send POST /route-plan a 8000 body    an HTTP client's request; "..." sends raw bytes
+ * desk1 expect 200 body                      the next message; * matches anything; or closed, nothing
+ * node1 send done a result                   a progress line of a route node's answer
+ * list send {"seq":...}                      a line of discovery's answer to the open list request
+ * plug1 send SUBMIT_JOB|route-plan|u|data    a Gearman packet; text: sends an admin line
+ * ops1 send POST /control/workers/node1/offline   a request to the control API
+ * node1 close                                closes the connection; if none is open, refuses new ones
+ * node1 wait                                 new connections hang; with a number, read that many bytes
+ * wait 100                                   advances the clock by milliseconds
  * </pre>
  */
 public final class Scenario {
-    /** Settings of the scenarios: two classes, no reports, so that jobs go out at once. */
+    /** Default settings: two classes and no reports, so that jobs are sent at once. */
     public static final String SETTINGS = """
         {"balancers":1,"dcs":["p"],"shapes":["k"],"membershipMode":"on_request","granularityMs":2.0,
         "classes":[{"name":"route-plan","sloMs":600.0,"deadlineMs":8000.0,"effect":"free"},
@@ -63,34 +63,34 @@
     public final Platform platform;
     public final GearmanFront gearman;
     public final ControlServer control;
-    /** What the operators' ready call says. */
+    /** Whether the control API's ready call reports the scheduler as serving. */
     public boolean serving = true;
 
     public final DispatchCore room;
     private final NodeConfig config;
     public boolean stopped;
     private final TimerWheel wheel = new TimerWheel(now);
-    private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    private final Map<String, Pipe> pipes = new HashMap<>();
-    private final Map<String, Integer> takes = new HashMap<>();
-    private final List<String> down = new ArrayList<>();
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+    private final Map<String, MemoryConnection> connections = new HashMap<>();
+    private final Map<String, Integer> readLimits = new HashMap<>();
+    private final List<String> refusedPeers = new ArrayList<>();
 
-    /** A scheduler that knows nodes node1 to nodeN. */
+    /** Starts a scheduler with default settings whose node list has node1 to nodeN. */
     public Scenario(int nodes) {
         this(nodes, SETTINGS);
     }
 
-    /** The same with settings of its own. */
+    /** Starts a scheduler with the given settings, in the JSON of the settings file. */
     public Scenario(int nodes, String settings) {
         this(nodes, settings, 1024);
     }
 
-    /** The same with a limit on descriptors of its own. */
+    /** Starts a scheduler with the given settings and limit on file descriptors. */
     public Scenario(int nodes, String settings, int sockets) {
         this(nodes, settings, sockets, GearmanConfig.usual(null), 64);
     }
 
-    /** A scheduler with a Gearman front as configured, and places for so many open jobs. */
+    /** Starts a scheduler with the given Gearman configuration and limit on open jobs. */
     public Scenario(int nodes, String settings, int sockets, GearmanConfig gearmanConfig, int openJobs) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 1; i <= nodes; i++) {
@@ -124,29 +124,30 @@
                         1 << 20,
                         gearmanConfig.limits().packetBytes()),
                 log::add);
-        LoopContext kit = new LoopContext(this::dial, () -> now, wheel, counters, log::add);
-        platform = new Platform(config, room, kit, () -> 0);
-        gearman = new GearmanFront(config, "0", room, kit, () -> stopped = true);
+        LoopContext context = new LoopContext(this::dial, () -> now, wheel, counters, log::add);
+        platform = new Platform(config, room, context, () -> 0);
+        gearman = new GearmanFront(config, "0", room, context, () -> stopped = true);
         control = new ControlServer(
                 new InetSocketAddress("127.0.0.1", 9600),
                 16,
-                kit,
+                context,
                 new ControlOperations(room, counters, null, () -> serving));
         platform.begin();
         platform.ready();
         if (config.settings().listOnRequest()) {
-            settle();
-            pipe("list", false).say("{\"seq\":1,\"whole\":false,\"hosts\":[]}"); // discovery knows what the file knows
-            settle();
+            runPendingEvents();
+            connection("list", false)
+                    .send("{\"seq\":1,\"whole\":false,\"hosts\":[]}"); // discovery has no changes since the file
+            runPendingEvents();
         }
     }
 
-    /** The timer wheel that the scenario's clock turns. */
+    /** The timer wheel driven by the scenario's clock. */
     public TimerWheel wheel() {
         return wheel;
     }
 
-    /** The configuration read anew, with discovery at another address. */
+    /** A copy of the configuration with another discovery address, as after a reload. */
     public NodeConfig config(String discovery) {
         return new NodeConfig(
                 config.name(),
@@ -162,284 +163,295 @@
                 config.ops());
     }
 
-    /** A host of the node list in discovery's words. */
-    public static String host(int node, String health, double born) {
+    /** A host entry of the node list in discovery's JSON. */
+    public static String host(int node, String health, double bornMs) {
         return "{\"host\":\"node" + node + "\",\"dial\":\"127.0.0.1:" + (9000 + node) + "\",\"site\":\"p\",\"class\":"
-                + "\"k\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + born + "}";
+                + "\"k\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + bornMs + "}";
     }
 
-    /** This scheduler's Gearman front as a rig of the scenario language; its clock moves while a peer waits. */
+    /** Adapts this scheduler's Gearman front to the script language; the clock advances while a peer waits. */
     public Rig rig() {
         return new Rig() {
             @Override
-            public void send(String who, byte[] bytes) {
-                pipe(who, true).hear(ByteBuffer.wrap(bytes));
-                settle();
+            public void send(String peer, byte[] bytes) {
+                connection(peer, true).deliver(ByteBuffer.wrap(bytes));
+                runPendingEvents();
             }
 
             @Override
-            public byte[] take(String who, double longestMs) {
-                Pipe p = pipe(who, false);
-                for (double end = now + longestMs; p.out.isEmpty() && !p.closed && now < end; pass(2)) {
-                    settle();
+            public byte[] take(String peer, double timeoutMs) {
+                MemoryConnection connection = connection(peer, false);
+                for (double end = now + timeoutMs;
+                        connection.output.isEmpty() && !connection.closed && now < end;
+                        pass(2)) {
+                    runPendingEvents();
                 }
-                byte[] all = p.out.getBytes(StandardCharsets.ISO_8859_1);
-                p.out = "";
-                return all.length == 0 && p.closed ? null : all;
+                byte[] bytes = connection.output.getBytes(StandardCharsets.ISO_8859_1);
+                connection.output = "";
+                return bytes.length == 0 && connection.closed ? null : bytes;
             }
 
             @Override
-            public void close(String who) {
-                pipe(who, false).hangUp();
-                settle();
+            public void close(String peer) {
+                connection(peer, false).closeByPeer();
+                runPendingEvents();
             }
 
             @Override
             public void pass(double ms) {
-                step("wait " + ms);
-                settle();
+                runStep("wait " + ms);
+                runPendingEvents();
             }
         };
     }
 
-    /** Plays a scenario; each step names itself where it fails. */
+    /** Runs the steps of a scenario; a failed expectation names its step. */
     public Scenario play(String steps) {
-        for (Script.Step s : Script.parse("scenario", steps).steps()) {
-            step(
-                    s.who() == null
-                            ? "wait " + s.words()
-                            : (s.who()
+        for (Script.Step step : Script.parse("scenario", steps).steps()) {
+            runStep(
+                    step.who() == null
+                            ? "wait " + step.words()
+                            : (step.who()
                                             + ' '
-                                            + s.verb()
+                                            + step.verb()
                                                     .name()
                                                     .toLowerCase(Locale.ROOT)
                                                     .replace("hold", "wait")
                                             + ' '
-                                            + s.words())
+                                            + step.words())
                                     .strip());
-            settle();
+            runPendingEvents();
         }
         return this;
     }
 
-    private void step(String line) {
-        String[] w = line.split(" ", 3);
-        String rest = w.length > 2 ? w[2] : "";
+    private void runStep(String line) {
+        String[] words = line.split(" ", 3);
+        String arguments = words.length > 2 ? words[2] : "";
         if (line.isEmpty() || line.startsWith("#")) {
             return;
         }
-        if (w[0].equals("wait")) {
-            for (double end = now + Double.parseDouble(w[1]); now < end; now += 2) {
+        if (words[0].equals("wait")) {
+            for (double end = now + Double.parseDouble(words[1]); now < end; now += 2) {
                 wheel.turnTo(now);
-                settle();
+                runPendingEvents();
             }
             wheel.turnTo(now);
             return;
         }
-        switch (w[1]) {
-            case "send" -> pipe(w[0], true).say(rest);
-            case "expect" -> expect(line, pipe(w[0], false), rest);
-            case "wait" -> takes.put(w[0], rest.isEmpty() ? -1 : Integer.parseInt(rest));
+        switch (words[1]) {
+            case "send" -> connection(words[0], true).send(arguments);
+            case "expect" -> expectMessage(line, connection(words[0], false), arguments);
+            case "wait" -> readLimits.put(words[0], arguments.isEmpty() ? -1 : Integer.parseInt(arguments));
             case "close" -> {
-                Pipe p = pipes.get(w[0]);
-                if (p == null || p.closed) {
-                    down.add(w[0]);
+                MemoryConnection connection = connections.get(words[0]);
+                if (connection == null || connection.closed) {
+                    refusedPeers.add(words[0]);
                 } else {
-                    p.hangUp();
+                    connection.closeByPeer();
                 }
             }
             default -> throw new IllegalArgumentException(line);
         }
     }
 
-    private void expect(String step, Pipe p, String wanted) {
-        if (p.who.startsWith("node") && wanted.startsWith("POST /pickup-order")) {
-            step("wait 6"); // an order's last byte follows the others
+    private void expectMessage(String step, MemoryConnection connection, String expected) {
+        if (connection.peer.startsWith("node") && expected.startsWith("POST /pickup-order")) {
+            runStep("wait 6"); // the last byte of an order is sent after the others
         }
-        String got = p.closed && wanted.equals("closed") ? "closed" : p.next(wanted.startsWith("\""));
-        String regex = "\\Q" + unquote(wanted).replace("*", "\\E.*\\Q") + "\\E";
-        assertThat(got).as(step).matches(java.util.regex.Pattern.compile(regex, java.util.regex.Pattern.DOTALL));
+        String actual = connection.closed && expected.equals("closed")
+                ? "closed"
+                : connection.takeNext(expected.startsWith("\""));
+        String regex = "\\Q" + unquote(expected).replace("*", "\\E.*\\Q") + "\\E";
+        assertThat(actual).as(step).matches(java.util.regex.Pattern.compile(regex, java.util.regex.Pattern.DOTALL));
     }
 
-    private static String unquote(String s) {
-        return s.startsWith("\"") ? s.substring(1, s.length() - 1).translateEscapes() : s;
+    private static String unquote(String text) {
+        return text.startsWith("\"") ? text.substring(1, text.length() - 1).translateEscapes() : text;
     }
 
-    private void settle() {
-        for (Runnable r = soon.poll(); r != null; r = soon.poll()) {
+    /** Runs the pending connection events, including those that they add. */
+    private void runPendingEvents() {
+        for (Runnable r = pendingEvents.poll(); r != null; r = pendingEvents.poll()) {
             r.run();
         }
     }
 
-    private Pipe pipe(String who, boolean fresh) {
-        Pipe p = pipes.get(who);
-        boolean dialled = who.startsWith("node") || who.startsWith("list");
-        if (p == null && dialled) {
-            return new Pipe(who);
+    private MemoryConnection connection(String peer, boolean reopen) {
+        MemoryConnection connection = connections.get(peer);
+        boolean dialled = peer.startsWith("node") || peer.startsWith("list");
+        if (connection == null && dialled) {
+            return new MemoryConnection(peer);
         }
-        if (p == null || p.closed && fresh && !dialled) {
-            p = new Pipe(who);
-            pipes.put(who, p);
-            p.up = true;
-            p.user = who.startsWith("desk")
-                    ? platform.accept(p)
-                    : who.startsWith("ops") ? control.accept(p) : gearman.accept(p);
+        if (connection == null || connection.closed && reopen && !dialled) {
+            connection = new MemoryConnection(peer);
+            connections.put(peer, connection);
+            connection.opened = true;
+            connection.handler = peer.startsWith("desk")
+                    ? platform.accept(connection)
+                    : peer.startsWith("ops") ? control.accept(connection) : gearman.accept(connection);
         }
-        return p;
+        return connection;
     }
 
-    private Connection dial(InetSocketAddress to, Function<Connection, ConnectionHandler> user) {
-        String who = to.getPort() < 9000
-                ? "list" + (to.getPort() == 8500 ? "" : to.getPort())
-                : "node" + (to.getPort() - 9000);
-        Pipe p = new Pipe(who);
-        p.user = user.apply(p);
-        p.window = takes.getOrDefault(who, Integer.MAX_VALUE);
-        if (!down.contains(who)) {
-            pipes.put(who, p);
+    private Connection dial(InetSocketAddress address, Function<Connection, ConnectionHandler> handlerFactory) {
+        String peer = address.getPort() < 9000
+                ? "list" + (address.getPort() == 8500 ? "" : address.getPort())
+                : "node" + (address.getPort() - 9000);
+        MemoryConnection connection = new MemoryConnection(peer);
+        connection.handler = handlerFactory.apply(connection);
+        connection.readLimit = readLimits.getOrDefault(peer, Integer.MAX_VALUE);
+        if (!refusedPeers.contains(peer)) {
+            connections.put(peer, connection);
         }
-        if (down.contains(who)) {
-            soon.add(p::hangUp);
-        } else if (p.window >= 0) {
-            soon.add(() -> {
-                p.up = true;
-                p.user.opened();
-                p.flush();
+        if (refusedPeers.contains(peer)) {
+            pendingEvents.add(connection::closeByPeer);
+        } else if (connection.readLimit >= 0) {
+            pendingEvents.add(() -> {
+                connection.opened = true;
+                connection.handler.opened();
+                connection.flush();
             });
         }
-        return p;
+        return connection;
     }
 
-    /** One connection in memory: the scheduler holds it as a wire, the scenario speaks at its other end. */
-    private final class Pipe implements Connection {
-        private final String who;
-        private ConnectionHandler user;
-        private final ArrayDeque<ByteBuffer> held = new ArrayDeque<>();
-        private String out = "";
-        private int window = Integer.MAX_VALUE;
-        private boolean up;
+    /** An in-memory connection between the scheduler, which uses it as a {@link Connection}, and a scripted peer. */
+    private final class MemoryConnection implements Connection {
+        private final String peer;
+        private ConnectionHandler handler;
+        private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+        private String output = "";
+        /** How many more bytes the peer reads; negative if the connection never opens. */
+        private int readLimit = Integer.MAX_VALUE;
+
+        private boolean opened;
         private boolean closed;
-        private boolean answering;
+        private boolean answerStarted;
 
-        Pipe(String who) {
-            this.who = who;
+        MemoryConnection(String peer) {
+            this.peer = peer;
         }
 
-        void hangUp() {
+        /** Ends the connection from the peer's side. */
+        void closeByPeer() {
             closed = true;
-            user.ended();
+            handler.ended();
         }
 
-        void say(String words) {
-            String raw = words;
-            if (words.startsWith("\"")) {
-                raw = unquote(words);
-            } else if (words.startsWith("text:")) {
-                raw = words.substring(5) + "\n";
-            } else if (who.startsWith("ops")) {
-                String[] p = words.split(" ");
-                raw = p[0] + " " + p[1] + " HTTP/1.1\r\nHost: h\r\n\r\n";
-            } else if (who.startsWith("desk")) {
-                String[] p = (words + " x").split(" ");
-                raw = p[0].equals("GET")
-                        ? "GET " + p[1] + " HTTP/1.1\r\nHost: h\r\n\r\n"
-                        : p[0] + " " + p[1]
-                                + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + p[2] + "\r\nX-Remaining-Ms: " + p[3]
-                                + "\r\nContent-Length: " + p[4].length() + "\r\n\r\n" + p[4];
-            } else if (who.startsWith("plug")) {
-                String[] p = words.split("\\|", -1);
-                Object[] arguments = new Object[p.length - 1];
-                for (int i = 1; i < p.length; i++) {
-                    arguments[i - 1] = p[i].equals("$") ? lastHandle : p[i];
+        /** Sends what a {@code send} step gives, in the format of the peer's kind. */
+        void send(String arguments) {
+            String raw = arguments;
+            if (arguments.startsWith("\"")) {
+                raw = unquote(arguments);
+            } else if (arguments.startsWith("text:")) {
+                raw = arguments.substring(5) + "\n";
+            } else if (peer.startsWith("ops")) {
+                String[] fields = arguments.split(" ");
+                raw = fields[0] + " " + fields[1] + " HTTP/1.1\r\nHost: h\r\n\r\n";
+            } else if (peer.startsWith("desk")) {
+                String[] fields = (arguments + " x").split(" ");
+                raw = fields[0].equals("GET")
+                        ? "GET " + fields[1] + " HTTP/1.1\r\nHost: h\r\n\r\n"
+                        : fields[0] + " " + fields[1]
+                                + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + fields[2] + "\r\nX-Remaining-Ms: " + fields[3]
+                                + "\r\nContent-Length: " + fields[4].length() + "\r\n\r\n" + fields[4];
+            } else if (peer.startsWith("plug")) {
+                String[] fields = arguments.split("\\|", -1);
+                Object[] values = new Object[fields.length - 1];
+                for (int i = 1; i < fields.length; i++) {
+                    values[i - 1] = fields[i].equals("$") ? lastHandle : fields[i];
                 }
-                hear(Packet.bytes(Packet.REQUEST, Packet.Type.valueOf(p[0]), arguments));
+                deliver(Packet.bytes(Packet.REQUEST, Packet.Type.valueOf(fields[0]), values));
                 return;
             } else {
-                String[] p = words.split(" ");
-                String line = words.startsWith("{")
-                        ? words
-                        : "{\"id\":\"" + p[1] + "\",\"state\":\"" + p[0] + "\",\"result\":\""
-                                + (p.length > 2 ? p[2] : "") + "\"}";
-                boolean last = !who.startsWith("list") && !p[0].equals("started");
-                raw = (answering ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                String[] fields = arguments.split(" ");
+                String line = arguments.startsWith("{")
+                        ? arguments
+                        : "{\"id\":\"" + fields[1] + "\",\"state\":\"" + fields[0] + "\",\"result\":\""
+                                + (fields.length > 2 ? fields[2] : "") + "\"}";
+                boolean last = !peer.startsWith("list") && !fields[0].equals("started");
+                raw = (answerStarted ? "" : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                         + Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n" + (last ? "0\r\n\r\n" : "");
-                answering = !last;
+                answerStarted = !last;
             }
-            hear(ByteBuffer.wrap(raw.getBytes(StandardCharsets.ISO_8859_1)));
+            deliver(ByteBuffer.wrap(raw.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
-        /** Fed byte by byte: no machine may lean on how bytes arrive. */
-        private void hear(ByteBuffer... all) {
-            for (ByteBuffer b : all) {
-                while (b != null && b.hasRemaining() && !closed) {
-                    user.bytes(ByteBuffer.wrap(new byte[] {b.get()}));
+        /** Delivers the bytes one at a time, because no parser may depend on how bytes are split. */
+        private void deliver(ByteBuffer... buffers) {
+            for (ByteBuffer buffer : buffers) {
+                while (buffer != null && buffer.hasRemaining() && !closed) {
+                    handler.bytes(ByteBuffer.wrap(new byte[] {buffer.get()}));
                 }
             }
         }
 
-        /** Takes the next message out of what the scheduler wrote, in the words of {@code expect}. */
-        String next(boolean raw) {
-            String all = out;
-            if (all.isEmpty()) {
+        /** Removes the next message from the scheduler's output and returns it in the form that {@code expect} uses. */
+        String takeNext(boolean raw) {
+            String text = output;
+            if (text.isEmpty()) {
                 return closed ? "closed" : "nothing";
             }
             if (raw) {
-                out = "";
-                return all;
+                output = "";
+                return text;
             }
-            if (all.charAt(0) == 0) {
-                int size = all.charAt(8) << 24 | all.charAt(9) << 16 | all.charAt(10) << 8 | all.charAt(11);
-                out = all.substring(12 + size);
+            if (text.charAt(0) == 0) {
+                int size = text.charAt(8) << 24 | text.charAt(9) << 16 | text.charAt(10) << 8 | text.charAt(11);
+                output = text.substring(12 + size);
                 String name = "?";
-                for (Packet.Type t : Packet.Type.values()) {
-                    name = Packet.bytes(0, t)[0].getInt(4) == all.charAt(7) ? t.name() : name;
+                for (Packet.Type type : Packet.Type.values()) {
+                    name = Packet.bytes(0, type)[0].getInt(4) == text.charAt(7) ? type.name() : name;
                 }
-                String words = all.substring(12, 12 + size).replace('\0', '|');
+                String words = text.substring(12, 12 + size).replace('\0', '|');
                 if (words.startsWith("H:")) {
                     lastHandle = words.split("\\|")[0];
                 }
                 return words.isEmpty() ? name : name + "|" + words;
             }
-            int head = all.indexOf("\r\n\r\n") + 4;
-            int from = all.indexOf("Content-Length: ") + 16;
-            int length =
-                    from > 15 && from < head ? Integer.parseInt(all.substring(from, all.indexOf("\r\n", from))) : 0;
-            out = all.substring(head + length);
-            String body = all.substring(head, head + length);
-            String[] start = all.substring(0, all.indexOf("\r\n")).split(" ");
-            String id = all.contains("X-Txn: ") ? all.replaceAll("(?s).*X-Txn: (\\S+).*", "$1") : "";
-            String told = start[0].startsWith("HTTP") ? start[1] : start[0] + " " + start[1] + " " + id;
-            return (told + " " + body).strip();
+            int headLength = text.indexOf("\r\n\r\n") + 4;
+            int lengthStart = text.indexOf("Content-Length: ") + 16;
+            int length = lengthStart > 15 && lengthStart < headLength
+                    ? Integer.parseInt(text.substring(lengthStart, text.indexOf("\r\n", lengthStart)))
+                    : 0;
+            output = text.substring(headLength + length);
+            String body = text.substring(headLength, headLength + length);
+            String[] startLine = text.substring(0, text.indexOf("\r\n")).split(" ");
+            String id = text.contains("X-Txn: ") ? text.replaceAll("(?s).*X-Txn: (\\S+).*", "$1") : "";
+            String summary =
+                    startLine[0].startsWith("HTTP") ? startLine[1] : startLine[0] + " " + startLine[1] + " " + id;
+            return (summary + " " + body).strip();
         }
 
         @Override
         public void write(ByteBuffer... parts) {
-            for (ByteBuffer p : parts) {
-                held.add(p.duplicate());
+            for (ByteBuffer part : parts) {
+                unsent.add(part.duplicate());
             }
             flush();
         }
 
         private void flush() {
-            for (ByteBuffer b = held.peek(); up && b != null; b = held.peek()) {
-                int n = Math.min(window, b.remaining());
-                byte[] bytes = new byte[n];
-                b.get(bytes);
-                window -= window == Integer.MAX_VALUE ? 0 : n;
-                out += new String(bytes, StandardCharsets.ISO_8859_1);
-                if (b.hasRemaining()) {
+            for (ByteBuffer buffer = unsent.peek(); opened && buffer != null; buffer = unsent.peek()) {
+                int count = Math.min(readLimit, buffer.remaining());
+                byte[] bytes = new byte[count];
+                buffer.get(bytes);
+                readLimit -= readLimit == Integer.MAX_VALUE ? 0 : count;
+                output += new String(bytes, StandardCharsets.ISO_8859_1);
+                if (buffer.hasRemaining()) {
                     return;
                 }
-                held.poll();
+                unsent.poll();
             }
-            if (up && user != null && !closed) {
-                user.flushed();
+            if (opened && handler != null && !closed) {
+                handler.flushed();
             }
         }
 
         @Override
         public boolean flushed() {
-            return up && held.isEmpty();
+            return opened && unsent.isEmpty();
         }
 
         @Override
--- a/src/test/java/plumpost/SocketRig.java
+++ b/src/test/java/plumpost/SocketRig.java
@@ -27,11 +27,12 @@
 import plumpost.time.TimerWheel;
 
 /**
- * A scheduler on real loopback connections whose clock the test turns: it reads and writes only while the test lets
- * it, so that what crosses on the wire crosses every time. One thread plays clients, nodes and discovery as well.
+ * Runs a scheduler on real loopback connections with a clock that the test advances. The scheduler reads and writes
+ * only when the test turns its loop, so that every run exchanges the same bytes. The test's thread also acts as the
+ * clients, the nodes and discovery.
  */
 public final class SocketRig implements AutoCloseable {
-    private static final long PATIENCE_MS = 10_000;
+    private static final long TIMEOUT_MS = 10_000;
 
     public double now = 1_700_000_000_000.0;
     public final Counters counters = new Counters();
@@ -41,31 +42,31 @@
     public final SelectorLoop loop;
     public final DispatchCore room;
     public final Platform platform;
-    private final LoopContext kit;
+    private final LoopContext context;
     private final TimerWheel wheel = new TimerWheel(now);
     private final List<Peer> peers = new ArrayList<>();
     private final NodeConfig config;
-    /** Discovery's empty lines come on an open watch at this interval. */
-    private static final double EMPTY_LINE_MS = 2_000;
+    /** Interval at which discovery sends empty lines on an open list request. */
+    private static final double EMPTY_LINE_INTERVAL_MS = 2_000;
 
     private InetSocketAddress front;
-    /** Discovery's end of the watch that this rig keeps open, or null. */
-    private Peer watch;
+    /** Discovery's end of the open list request that this rig keeps alive, or null. */
+    private Peer discoveryWatch;
 
-    private double emptyLineAt;
-    private boolean over;
+    private double nextEmptyLineMs;
+    private boolean loopEnded;
 
-    /** A scheduler that knows so many nodes from its file, and has heard from discovery that nothing has changed since. */
+    /** Starts a scheduler with this many nodes in its file; a list on request is answered as having no changes. */
     public SocketRig(String settings, int nodes) throws IOException {
         this(settings, nodes, settings.contains("on_request"));
     }
 
-    /** A scheduler that knows so many nodes from its file, and has not heard from discovery. */
+    /** Starts a scheduler with this many nodes in its file that discovery has not answered yet. */
     public static SocketRig unanswered(String settings, int nodes) throws IOException {
         return new SocketRig(settings, nodes, false);
     }
 
-    private SocketRig(String settings, int nodes, boolean answered) throws IOException {
+    private SocketRig(String settings, int nodes, boolean discoveryAnswers) throws IOException {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < nodes; i++) {
             this.nodes.add(new Listener());
@@ -76,7 +77,7 @@
                 "known", ("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}").getBytes(StandardCharsets.UTF_8));
         config = new NodeConfig(
                 "t",
-                anywhere(),
+                anyLoopbackPort(),
                 discovery.address(),
                 7,
                 1024,
@@ -95,31 +96,31 @@
                 counters,
                 new DispatchCore.Bounds(64, 1 << 20, 64, 1 << 20),
                 log::add);
-        kit = new LoopContext(loop, () -> now, wheel, counters, log::add);
-        platform = new Platform(config, room, kit, loop::lagMs);
-        platform.open((at, users, most, batched, unread, shed) -> {
-            front = loop.listen(at, users, most, unread, shed).address();
+        context = new LoopContext(loop, () -> now, wheel, counters, log::add);
+        platform = new Platform(config, room, context, loop::lagMs);
+        platform.open((address, handlers, maxConnections, batched, unread, shed) -> {
+            front = loop.listen(address, handlers, maxConnections, unread, shed).address();
             return front;
         });
-        if (answered) {
-            watch = discovery.accept();
-            emptyLineAt = now + EMPTY_LINE_MS;
-            watch.expect("GET ");
-            watch.send(CHUNKED + chunk("{\"seq\":1,\"whole\":false,\"hosts\":[]}\n"));
-            until("the list", () -> counters.of("list.full") == 1);
+        if (discoveryAnswers) {
+            discoveryWatch = discovery.accept();
+            nextEmptyLineMs = now + EMPTY_LINE_INTERVAL_MS;
+            discoveryWatch.expect("GET ");
+            discoveryWatch.send(CHUNKED + chunk("{\"seq\":1,\"whole\":false,\"hosts\":[]}\n"));
+            until("the node list", () -> counters.of("list.full") == 1);
         }
     }
 
-    private static InetSocketAddress anywhere() {
+    private static InetSocketAddress anyLoopbackPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** The configuration read anew, with discovery at another address. */
-    public NodeConfig config(InetSocketAddress elsewhere) {
+    /** A copy of the configuration with another discovery address, as after a reload. */
+    public NodeConfig config(InetSocketAddress discoveryAddress) {
         return new NodeConfig(
                 config.name(),
                 config.listen(),
-                elsewhere,
+                discoveryAddress,
                 config.seed(),
                 config.sockets(),
                 config.settings(),
@@ -130,21 +131,21 @@
                 null);
     }
 
-    /** A line of the node list on a node of this rig. */
+    /** The entry of the node list, in discovery's JSON, for a node of this rig. */
     public String host(int node, String health) {
         return "{\"host\":\"node" + node + "\",\"dial\":\"127.0.0.1:"
                 + nodes.get(node).address().getPort() + "\",\"site\":\"p\",\"class\":\"k\",\"block\":0,\"health\":\""
                 + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    /** A client's connection; the scheduler has not accepted it yet. */
+    /** Opens a client's connection that the scheduler has not accepted yet. */
     public Peer client() throws IOException {
         return new Peer(SocketChannel.open(front));
     }
 
-    /** A Gearman client's connection; the scheduler has not accepted it yet. */
+    /** Opens a Gearman client's connection, to a new Gearman front, that the scheduler has not accepted yet. */
     public Peer gearmanClient() throws IOException {
-        NodeConfig withGearman = new NodeConfig(
+        NodeConfig gearmanConfig = new NodeConfig(
                 config.name(),
                 config.listen(),
                 config.discovery(),
@@ -156,154 +157,160 @@
                 GearmanConfig.usual(null),
                 null,
                 null);
-        GearmanFront gearman = new GearmanFront(withGearman, "0", room, kit, () -> {});
+        GearmanFront gearman = new GearmanFront(gearmanConfig, "0", room, context, () -> {});
         return new Peer(SocketChannel.open(
-                loop.listen(anywhere(), gearman::accept, 8, () -> false).address()));
+                loop.listen(anyLoopbackPort(), gearman::accept, 8, () -> false).address()));
     }
 
-    /** A request for a job as a client sends it. */
-    public static String job(String cls, String id, String more, String body) {
-        return "POST /" + cls + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\n" + more + "Content-Length: "
+    /** A client's HTTP request for a job; each extra field ends with CRLF. */
+    public static String job(String jobClass, String id, String extraFields, String body) {
+        return "POST /" + jobClass + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\n" + extraFields + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A chunk of an answer. */
+    /** Encodes text as one chunk of a chunked answer. */
     public static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A node's last line of a job. */
+    /** The progress line by which a node reports a job as done. */
     public static String line(String id, String result) {
         return "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"" + result + "\"}\n";
     }
 
-    /** What a node says of a job, from the head of its answer to its end. */
+    /** A node's whole answer for a job that is done. */
     public static String done(String id) {
         return CHUNKED + chunk(line(id, "r-" + id)) + "0\r\n\r\n";
     }
 
-    /** The head of an answer in chunks. */
+    /** The head of a chunked answer. */
     public static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Has something happen on the wire at a time, between what the loop reads and what its timers do. */
-    public void after(double ms, Runnable what) {
-        wheel.at(now + ms, what);
+    /** Schedules an action on the loop's timer wheel, so that it runs between the loop's reads and its later timers. */
+    public void after(double delayMs, Runnable action) {
+        wheel.at(now + delayMs, action);
     }
 
-    /** Much time passes in a single turn. */
-    public void jump(double ms) {
-        now += ms;
+    /** Advances the clock in one step, followed by one turn of the loop. */
+    public void jump(double durationMs) {
+        now += durationMs;
         turn();
     }
 
-    /** One turn of the loop, without any time passing. */
+    /** Turns the loop once without advancing the clock. */
     public void turn() {
         try {
             loop.turn(0);
-        } catch (IOException e) {
-            throw new IllegalStateException(e);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
-    /** Turns the loop, with the clock at rest, until something holds; real time bounds it widely. */
-    public void until(String what, BooleanSupplier holds) {
-        for (long end = System.nanoTime() + PATIENCE_MS * 1_000_000; !holds.getAsBoolean(); Thread.onSpinWait()) {
-            assertThat(System.nanoTime()).as(what + "; log " + log).isLessThan(end);
+    /** Turns the loop without advancing the clock until the condition holds; fails after 10 s of real time. */
+    public void until(String description, BooleanSupplier condition) {
+        for (long end = System.nanoTime() + TIMEOUT_MS * 1_000_000; !condition.getAsBoolean(); Thread.onSpinWait()) {
+            assertThat(System.nanoTime()).as(description + "; log " + log).isLessThan(end);
             turn();
         }
     }
 
-    /** Lets time pass, by steps of 2 ms with a turn each. */
-    public void pass(double ms) {
-        for (double end = now + ms; now < end; ) {
+    /** Advances the clock in steps of at most 2 ms with a turn of the loop after each. */
+    public void pass(double durationMs) {
+        for (double end = now + durationMs; now < end; ) {
             now = Math.min(end, now + 2);
-            if (watch != null && now >= emptyLineAt) {
-                emptyLineAt += EMPTY_LINE_MS;
-                watch.send(chunk("\n"));
+            if (discoveryWatch != null && now >= nextEmptyLineMs) {
+                nextEmptyLineMs += EMPTY_LINE_INTERVAL_MS;
+                discoveryWatch.send(chunk("\n"));
             }
             turn();
         }
     }
 
-    /** Time passes, a little at a time, until something holds; returns how much. */
-    public double passUntil(String what, double mostMs, BooleanSupplier holds) {
+    /**
+     * Advances the clock in steps of 2 ms until the condition holds and returns the elapsed milliseconds; fails once
+     * more than the maximum has passed.
+     */
+    public double passUntil(String description, double maxMs, BooleanSupplier condition) {
         double from = now;
-        while (!holds.getAsBoolean()) {
-            assertThat(now - from).as(what + "; log " + log).isLessThanOrEqualTo(mostMs);
+        while (!condition.getAsBoolean()) {
+            assertThat(now - from).as(description + "; log " + log).isLessThanOrEqualTo(maxMs);
             pass(2);
         }
         return now - from;
     }
 
-    /** Runs the loop as the process does until it is over; between its turns the test looks on and time passes. */
-    public void end(BooleanSupplier until) throws IOException {
-        over = true;
-        long end = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    /**
+     * Runs the loop as the process does until the condition holds; the clock advances 10 ms each time it is checked.
+     * Fails after 10 s of real time.
+     */
+    public void end(BooleanSupplier finished) throws IOException {
+        loopEnded = true;
+        long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         loop.run(() -> {
             now += 10;
-            return until.getAsBoolean() || System.nanoTime() > end;
+            return finished.getAsBoolean() || System.nanoTime() > end;
         });
-        assertThat(System.nanoTime()).as("the end; log " + log).isLessThan(end);
+        assertThat(System.nanoTime()).as("end of the loop; log " + log).isLessThan(end);
     }
 
     @Override
     public void close() throws IOException {
-        for (Peer p : peers) {
-            p.channel.close();
+        for (Peer peer : peers) {
+            peer.channel.close();
         }
-        if (!over) {
+        if (!loopEnded) {
             end(() -> true);
         }
         discovery.channel.close();
-        for (Listener l : nodes) {
-            l.channel.close();
+        for (Listener listener : nodes) {
+            listener.channel.close();
         }
     }
 
-    /** Where the scheduler connects to. */
+    /** A listening socket that the scheduler connects to. */
     public final class Listener {
         private final ServerSocketChannel channel;
 
         Listener() throws IOException {
-            channel = ServerSocketChannel.open().bind(anywhere());
+            channel = ServerSocketChannel.open().bind(anyLoopbackPort());
             channel.configureBlocking(false);
         }
 
-        /** Where it listens. */
+        /** The address it listens at. */
         public InetSocketAddress address() {
             return (InetSocketAddress) channel.socket().getLocalSocketAddress();
         }
 
-        /** Refuses connections from now on. */
+        /** Closes the socket, so that new connections are refused. */
         public void close() throws IOException {
             channel.close();
         }
 
-        /** The next connection that has come, or null. */
+        /** Accepts the next pending connection, or returns null if there is none. */
         public Peer poll() {
             try {
-                SocketChannel c = channel.accept();
-                return c == null ? null : new Peer(c);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
+                SocketChannel accepted = channel.accept();
+                return accepted == null ? null : new Peer(accepted);
+            } catch (IOException exception) {
+                throw new IllegalStateException(exception);
             }
         }
 
-        /** The next connection, which the scheduler is given turns to open. */
+        /** Turns the loop until the scheduler connects and returns the connection. */
         public Peer accept() {
-            Peer[] p = new Peer[1];
-            until("a connection", () -> (p[0] = poll()) != null);
-            return p[0];
+            Peer[] accepted = new Peer[1];
+            until("a connection", () -> (accepted[0] = poll()) != null);
+            return accepted[0];
         }
     }
 
-    /** The other end of one of the scheduler's connections. */
+    /** The test's end of a connection to the scheduler. */
     public final class Peer {
         private final SocketChannel channel;
         private final StringBuilder text = new StringBuilder();
-        /** The scheduler has ended its sending. */
+        /** Whether the scheduler has closed its sending side. */
         public boolean ended;
-        /** The connection was reset. */
+        /** Whether reading or writing has failed, as after a reset. */
         public boolean reset;
 
         Peer(SocketChannel channel) throws IOException {
@@ -313,7 +320,7 @@
             peers.add(this);
         }
 
-        /** Takes only a little at a time. */
+        /** Sets the receive buffer to 2048 bytes, so that the scheduler can write only little at a time. */
         public void narrow() throws IOException {
             channel.setOption(StandardSocketOptions.SO_RCVBUF, 2048);
         }
@@ -325,59 +332,64 @@
             }
         }
 
-        /** Sends bytes; they lie at the scheduler when this returns. */
+        /**
+         * Sends the bytes, turning the loop while the socket's buffers are full. On loopback the scheduler can read them
+         * when this returns.
+         */
         public void send(String bytes) {
             try {
-                ByteBuffer b = ByteBuffer.wrap(bytes.getBytes(StandardCharsets.ISO_8859_1));
-                while (b.hasRemaining()) {
-                    if (channel.write(b) == 0) {
+                ByteBuffer buffer = ByteBuffer.wrap(bytes.getBytes(StandardCharsets.ISO_8859_1));
+                while (buffer.hasRemaining()) {
+                    if (channel.write(buffer) == 0) {
                         turn();
                     }
                 }
-            } catch (IOException e) {
+            } catch (IOException exception) {
                 reset = true;
             }
         }
 
-        /** All that has come so far. */
+        /** Reads what has arrived and returns all text received since the last {@link #expect}. */
         public String text() {
-            ByteBuffer in = ByteBuffer.allocate(4096);
+            ByteBuffer buffer = ByteBuffer.allocate(4096);
             try {
-                for (int n = channel.read(in); n != 0 && !ended && !reset; n = ended ? 0 : channel.read(in.clear())) {
+                for (int n = channel.read(buffer);
+                        n != 0 && !ended && !reset;
+                        n = ended ? 0 : channel.read(buffer.clear())) {
                     ended = n < 0;
-                    text.append(StandardCharsets.ISO_8859_1.decode(in.flip()));
+                    text.append(StandardCharsets.ISO_8859_1.decode(buffer.flip()));
                 }
-            } catch (IOException e) {
+            } catch (IOException exception) {
                 reset = true;
             }
             return text.toString();
         }
 
-        /** What has come, once it holds the given words; it is then forgotten. */
-        public String expect(String words) {
-            until("expecting " + words + ", got " + text, () -> text().contains(words));
-            String all = text.toString();
+        /** Turns the loop until the received text contains the given text; returns and clears the received text. */
+        public String expect(String expected) {
+            until("expecting " + expected + ", got " + text, () -> text().contains(expected));
+            String received = text.toString();
             text.setLength(0);
-            return all;
+            return received;
         }
 
-        /** Whether either end of the connection is over for the scheduler's peer. */
+        /** Whether the scheduler has closed its sending side or the connection has failed. */
         public boolean over() {
             text();
             return ended || reset;
         }
 
-        /** Ends the sending and keeps reading. */
+        /** Closes the sending side and keeps reading. */
         public void halfClose() throws IOException {
             channel.shutdownOutput();
         }
 
-        /** Ends the connection in order. */
+        /** Closes the connection normally. */
         public void close() throws IOException {
             channel.close();
         }
 
-        /** Ends the connection by a reset. */
+        /** Closes the connection with a reset. */
         public void reset() throws IOException {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             channel.close();
