--- a/src/test/java/plumpost/CrowdedPeersTest.java
+++ b/src/test/java/plumpost/CrowdedPeersTest.java
@@ -27,100 +27,100 @@
 import plumpost.platform.Platform;
 import plumpost.time.TimerWheel;
 
-/** Loopback sockets in a crowd: discovery drops, refuses and delays callers, and nodes hold few connections. */
+/** Runs a scheduler against a discovery that drops, refuses and delays calls and nodes that hold few connections. */
 class CrowdedPeersTest {
     private static final int JOBS = 60;
-    private static final int PLACES = 2;
+    private static final int MAX_CONNECTIONS_PER_NODE = 2;
 
     private double now = 1_700_000_000_000.0;
     private final TimerWheel wheel = new TimerWheel(now);
     private final Counters counters = new Counters();
     private final List<String> log = new ArrayList<>();
     private final SelectorLoop loop;
-    private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<String, Integer> answers = new HashMap<>();
-    private int calls;
-    private int turnedOff;
+    private final Map<String, Integer> runCounts = new HashMap<>();
+    private final Map<String, Integer> answerCounts = new HashMap<>();
+    private int discoveryCalls;
+    private int closedOverLimit;
     private String hosts = "";
 
     CrowdedPeersTest() throws IOException {
         loop = new SelectorLoop(() -> now, wheel, counters, log::add);
     }
 
-    private static InetSocketAddress anywhere() {
+    private static InetSocketAddress anyLoopbackPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private static ByteBuffer wired(String text) {
+    private static ByteBuffer encode(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String chunk(String line) {
-        return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** The first caller is dropped, the second refused; the third gets the list, nearly a second late. */
-    private ConnectionHandler discovery(Connection wire) {
-        int call = ++calls;
+    /** Closes the first call, answers the second with 503, and sends the node list on any later one after 950 ms. */
+    private ConnectionHandler acceptDiscovery(Connection connection) {
+        int callNumber = ++discoveryCalls;
         return new ConnectionHandler() {
-            private boolean gone;
+            private boolean closed;
 
             @Override
             public void bytes(ByteBuffer in) {
                 in.position(in.limit());
-                if (call == 1) {
-                    wire.cut();
-                } else if (call == 2) {
-                    wire.write(wired("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"));
+                if (callNumber == 1) {
+                    connection.cut();
+                } else if (callNumber == 2) {
+                    connection.write(encode("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"));
                 } else {
                     wheel.at(
                             now + 950,
-                            () -> say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            () -> send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + chunk("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts + "]}\n")));
                 }
             }
 
-            /** What there is to say, and an empty line every 2 s after it. */
-            private void say(String text) {
-                if (!gone) {
-                    wire.write(wired(text));
-                    wheel.at(now + 2_000, () -> say(chunk("\n")));
+            /** Sends the text, then an empty line every 2 s, until the connection ends. */
+            private void send(String text) {
+                if (!closed) {
+                    connection.write(encode(text));
+                    wheel.at(now + 2_000, () -> send(chunk("\n")));
                 }
             }
 
             @Override
             public void ended() {
-                gone = true;
+                closed = true;
             }
         };
     }
 
-    /** A node that resets whoever comes while it has as many connections as it holds. */
+    /** A node that closes every connection beyond {@link #MAX_CONNECTIONS_PER_NODE}. */
     private final class Node {
-        private int held;
+        private int openConnections;
 
         ConnectionHandler accept(Connection wire) {
-            boolean over = held >= PLACES;
-            held++;
-            if (over) {
-                turnedOff++;
+            boolean overLimit = openConnections >= MAX_CONNECTIONS_PER_NODE;
+            openConnections++;
+            if (overLimit) {
+                closedOverLimit++;
                 wheel.at(now, wire::cut);
             }
             RequestReader reader = new RequestReader(1 << 16);
             return new ConnectionHandler() {
-                private boolean gone;
+                private boolean closed;
 
                 @Override
                 public void bytes(ByteBuffer in) {
-                    if (over || !whole(() -> reader.feed(in))) {
+                    if (overLimit || !feedValid(() -> reader.feed(in))) {
                         return;
                     }
                     String id = reader.head().field("X-Txn");
-                    runs.merge(id, 1, Integer::sum);
+                    runCounts.merge(id, 1, Integer::sum);
                     reader.next();
                     wheel.at(now + 20, () -> {
-                        if (!gone) {
-                            wire.write(wired("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        if (!closed) {
+                            wire.write(encode("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + chunk("{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"x\"}\n")
                                     + "0\r\n\r\n"));
                         }
@@ -129,40 +129,44 @@
 
                 @Override
                 public void ended() {
-                    gone = true;
-                    held--;
+                    closed = true;
+                    openConnections--;
                 }
             };
         }
     }
 
-    private interface Feeding {
-        boolean go() throws BadMessage;
+    /** One call of an HTTP parser; returns whether a message is complete. */
+    private interface MessageParser {
+        boolean feed() throws BadMessage;
     }
 
-    private static boolean whole(Feeding feeding) {
+    /** Feeds a parser and fails the test if the message is malformed. */
+    private static boolean feedValid(MessageParser parser) {
         try {
-            return feeding.go();
+            return parser.feed();
         } catch (BadMessage e) {
             throw new AssertionError(e);
         }
     }
 
-    private void job(InetSocketAddress front, int n) {
-        String path = n % 3 == 0 ? "pickup-order" : "route-plan";
-        AnswerReader answer = new AnswerReader(1 << 16);
-        loop.dial(front, wire -> new ConnectionHandler() {
+    /** Submits a job over a connection of its own; every third job is an order. */
+    private void submitJob(InetSocketAddress front, int index) {
+        String jobClass = index % 3 == 0 ? "pickup-order" : "route-plan";
+        AnswerReader reader = new AnswerReader(1 << 16);
+        loop.dial(front, connection -> new ConnectionHandler() {
             @Override
             public void opened() {
-                wire.write(wired("POST /" + path + " HTTP/1.1\r\nHost: h\r\nX-Txn: j" + n + "\r\nX-Lane: " + path
-                        + "\r\nX-Remaining-Ms: " + (n % 3 == 0 ? 20_000 : 8_000) + "\r\nContent-Length: 1\r\n\r\nx"));
+                connection.write(encode("POST /" + jobClass + " HTTP/1.1\r\nHost: h\r\nX-Txn: j" + index
+                        + "\r\nX-Lane: " + jobClass + "\r\nX-Remaining-Ms: " + (index % 3 == 0 ? 20_000 : 8_000)
+                        + "\r\nContent-Length: 1\r\n\r\nx"));
             }
 
             @Override
             public void bytes(ByteBuffer in) {
-                if (whole(() -> answer.feed(in))) {
-                    answers.merge("j" + n + " " + answer.status(), 1, Integer::sum);
-                    wire.cut();
+                if (feedValid(() -> reader.feed(in))) {
+                    answerCounts.merge("j" + index + " " + reader.status(), 1, Integer::sum);
+                    connection.cut();
                 }
             }
 
@@ -171,33 +175,48 @@
         });
     }
 
-    private static int number(String job) {
+    /** The index in a job id such as {@code j12}. */
+    private static int jobIndex(String job) {
         return Integer.parseInt(job.substring(1));
     }
 
-    private void turn(double ms) throws IOException {
-        for (double end = now + ms; now < end; now += 0.5) {
+    /** Advances the clock in steps of 0.5 ms and turns the loop after each. */
+    private void advance(double durationMs) throws IOException {
+        for (double end = now + durationMs; now < end; now += 0.5) {
             loop.turn(0);
         }
     }
 
-    /** Guards a start in a crowd: the list comes at the third call, and every job is answered once all the same. */
+    /**
+     * Guards against lost or doubled answers when discovery sends its list only on the third call and nodes close
+     * connections over their limit: every job gets one answer, and no order runs twice.
+     */
     @Test
-    void jobsAreServedOnceThoughEveryPeerIsCrowded() throws IOException {
+    void everyJobIsAnsweredOnceWhenPeersRefuseConnections() throws IOException {
         for (int i = 0; i < 3; i++) {
-            InetSocketAddress at = loop.listen(anywhere(), new Node()::accept, 100, () -> false)
+            InetSocketAddress address = loop.listen(anyLoopbackPort(), new Node()::accept, 100, () -> false)
                     .address();
-            hosts += (i > 0 ? "," : "") + "{\"host\":\"n" + i + "\",\"dial\":\"127.0.0.1:" + at.getPort()
+            hosts += (i > 0 ? "," : "") + "{\"host\":\"n" + i + "\",\"dial\":\"127.0.0.1:" + address.getPort()
                     + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\"}";
         }
-        InetSocketAddress discovery =
-                loop.listen(anywhere(), this::discovery, 100, () -> false).address();
+        InetSocketAddress discoveryAddress = loop.listen(anyLoopbackPort(), this::acceptDiscovery, 100, () -> false)
+                .address();
         Json.Fields raw = Json.object("settings", Scenario.SETTINGS.getBytes(StandardCharsets.UTF_8));
         Json.Fields known =
                 Json.object("known", "{\"seq\":1,\"whole\":true,\"hosts\":[]}".getBytes(StandardCharsets.UTF_8));
         NodeConfig config = new NodeConfig(
-                "t", anywhere(), discovery, 7, 1024, SettingsReader.settings(raw), raw, known, null, null, null);
-        DispatchCore room = new DispatchCore(
+                "t",
+                anyLoopbackPort(),
+                discoveryAddress,
+                7,
+                1024,
+                SettingsReader.settings(raw),
+                raw,
+                known,
+                null,
+                null,
+                null);
+        DispatchCore core = new DispatchCore(
                 config.settings(),
                 7,
                 () -> now,
@@ -206,27 +225,29 @@
                 new DispatchCore.Bounds(1000, 1 << 24, JOBS, 1 << 24),
                 log::add);
         Platform platform =
-                new Platform(config, room, new LoopContext(loop, () -> now, wheel, counters, log::add), loop::lagMs);
-        InetSocketAddress front =
-                loop.listen(anywhere(), platform::accept, 100, () -> false).address();
+                new Platform(config, core, new LoopContext(loop, () -> now, wheel, counters, log::add), loop::lagMs);
+        InetSocketAddress front = loop.listen(anyLoopbackPort(), platform::accept, 100, () -> false)
+                .address();
         platform.begin();
-        turn(12_000);
-        assertThat(calls).as("calls until the list came").isEqualTo(3);
-        for (int n = 0; n < JOBS; n++) {
-            job(front, n);
-            turn(15);
+        advance(12_000);
+        assertThat(discoveryCalls).as("discovery calls until the list arrived").isEqualTo(3);
+        for (int index = 0; index < JOBS; index++) {
+            submitJob(front, index);
+            advance(15);
         }
-        turn(21_000);
+        advance(21_000);
         assertThat(log).filteredOn(l -> l.contains("fault")).isEmpty();
-        assertThat(turnedOff).as("connections over what nodes hold").isPositive();
-        assertThat(answers).hasSize(JOBS);
-        assertThat(answers.values()).as("answers a job").containsOnly(1);
-        assertThat(runs.entrySet())
+        assertThat(closedOverLimit)
+                .as("connections closed by nodes that were over their limit")
+                .isPositive();
+        assertThat(answerCounts).hasSize(JOBS);
+        assertThat(answerCounts.values()).as("answers per job").containsOnly(1);
+        assertThat(runCounts.entrySet())
                 .as("orders that ran twice")
-                .noneMatch(e -> number(e.getKey()) % 3 == 0 && e.getValue() > 1);
-        assertThat(answers.keySet())
-                .as("plans are served, an order that found no place never ran and is refused")
-                .allMatch(a -> a.endsWith(" 200") || number(a.split(" ")[0]) % 3 == 0 && a.endsWith(" 503"));
+                .noneMatch(e -> jobIndex(e.getKey()) % 3 == 0 && e.getValue() > 1);
+        assertThat(answerCounts.keySet())
+                .as("route plans are served; orders are served or refused")
+                .allMatch(a -> a.endsWith(" 200") || jobIndex(a.split(" ")[0]) % 3 == 0 && a.endsWith(" 503"));
         loop.run(() -> true);
     }
 }
--- a/src/test/java/plumpost/KnownRed.java
+++ b/src/test/java/plumpost/KnownRed.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over the tests that KNOWN-RED.txt names, where CI asks for that: faults that are known and not mended yet. The file
- * has a line for each, {@code class#method: cause (issue)}, three at most; without the property every test runs.
+ * Skips the tests listed in KNOWN-RED.txt, which fail because of known faults that are not fixed yet. The file has one
+ * line per test, {@code class#method: cause (issue)}, and at most three lines. Without the property every test runs.
  */
 public final class KnownRed implements ExecutionCondition {
-    /** The property that holds the file's path; only CI sets it. */
+    /** System property with the path of the file; only CI sets it. */
     private static final String PROPERTY = "plumpost.knownRed";
 
-    private static final int MOST_LINES = 3;
+    private static final int MAX_LINES = 3;
 
     @Override
     public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
@@ -25,20 +25,20 @@
         Optional<String> name = context.getTestMethod()
                 .map(method -> context.getRequiredTestClass().getName() + "#" + method.getName());
         if (file == null || name.isEmpty()) {
-            return ConditionEvaluationResult.enabled("not a test that may be known to fail");
+            return ConditionEvaluationResult.enabled("no list of known failures, or not a test method");
         }
         try {
             var lines = Files.readAllLines(Path.of(file));
-            if (lines.size() > MOST_LINES) {
-                throw new IllegalStateException(file + " has " + lines.size() + " lines, at most " + MOST_LINES);
+            if (lines.size() > MAX_LINES) {
+                throw new IllegalStateException(file + " has " + lines.size() + " lines; the maximum is " + MAX_LINES);
             }
             return lines.stream()
                     .filter(line -> line.startsWith(name.get() + ":"))
                     .findFirst()
                     .map(ConditionEvaluationResult::disabled)
-                    .orElse(ConditionEvaluationResult.enabled("not known to fail"));
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+                    .orElse(ConditionEvaluationResult.enabled("not a known failure"));
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 }
--- a/src/test/java/plumpost/LoopbackTest.java
+++ b/src/test/java/plumpost/LoopbackTest.java
@@ -32,158 +32,159 @@
 import plumpost.platform.Platform;
 import plumpost.time.TimerWheel;
 
-/** Both fronts at once on real loopback sockets, at ports that the system gives and by a clock that the test turns. */
+/** Runs the HTTP and Gearman fronts together on real loopback sockets with ephemeral ports and a simulated clock. */
 class LoopbackTest {
     private static final int JOBS = 10_000;
-    private static final double TURN_MS = 0.2;
+    private static final double TICK_MS = 0.2;
 
     private double now = 1_700_000_000_000.0;
     private final SplittableRandom random = new SplittableRandom(11);
     private final TimerWheel wheel = new TimerWheel(now);
     private final Counters counters = new Counters();
     private final List<String> log = new ArrayList<>();
-    private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<String, Integer> answers = new HashMap<>();
+    private final Map<String, Integer> runCounts = new HashMap<>();
+    private final Map<String, Integer> answerCounts = new HashMap<>();
     private final Map<String, String> outcomes = new HashMap<>();
-    private final Counters seen = new Counters();
-    private int begun;
-    private int open;
+    private final Counters injectedFaults = new Counters();
+    private int begunJobs;
+    private int openJobs;
     private SelectorLoop loop;
-    private InetSocketAddress front;
-    private InetSocketAddress gearman;
+    private InetSocketAddress httpAddress;
+    private InetSocketAddress gearmanAddress;
 
-    private boolean chance(int inHundred) {
-        return random.nextInt(100) < inHundred;
+    private boolean chance(int percent) {
+        return random.nextInt(100) < percent;
     }
 
-    private static ByteBuffer wired(String text) {
+    private static ByteBuffer encode(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static InetSocketAddress anywhere() {
+    private static InetSocketAddress anyLoopbackPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private void ran(String job) {
-        runs.merge(job, 1, Integer::sum);
+    private void countRun(String job) {
+        runCounts.merge(job, 1, Integer::sum);
     }
 
-    private void later(Runnable what) {
-        wheel.at(now + 1 + random.nextInt(8), what);
+    private void runLater(Runnable action) {
+        wheel.at(now + 1 + random.nextInt(8), action);
     }
 
-    private void answered(String job, String outcome) {
-        answers.merge(job, 1, Integer::sum);
-        String before = outcomes.putIfAbsent(job, outcome);
-        assertThat(before == null ? outcome : before).as("outcome of " + job).isEqualTo(outcome);
+    private void recordAnswer(String job, String outcome) {
+        answerCounts.merge(job, 1, Integer::sum);
+        String earlier = outcomes.putIfAbsent(job, outcome);
+        assertThat(earlier == null ? outcome : earlier).as("outcome of " + job).isEqualTo(outcome);
     }
 
-    /** What the stand-ins have in common: a wire, and a peer that may be gone. */
-    private abstract class StandIn implements ConnectionHandler {
-        Connection wire;
-        boolean gone;
+    /** Base of the simulated peers: holds the connection and whether it has ended. */
+    private abstract class SimulatedPeer implements ConnectionHandler {
+        Connection connection;
+        boolean closed;
 
-        ConnectionHandler on(Connection w) {
-            wire = w;
+        ConnectionHandler attach(Connection newConnection) {
+            connection = newConnection;
             return this;
         }
 
         @Override
         public void ended() {
-            gone = true;
+            closed = true;
         }
     }
 
-    /** A route node by HTTP: runs a job, turns it away unseen, or breaks in the middle of it. */
-    private final class HttpNode extends StandIn {
+    /** An HTTP route node that runs a job, turns it away without running it, or closes the connection while it runs. */
+    private final class HttpNode extends SimulatedPeer {
         private final RequestReader reader = new RequestReader(1 << 16);
 
         @Override
         public void bytes(ByteBuffer in) {
-            if (!whole(() -> reader.feed(in))) {
+            if (!feedValid(() -> reader.feed(in))) {
                 return;
             }
             String id = reader.head().field("X-Txn");
             String body = StandardCharsets.ISO_8859_1.decode(reader.body()).toString();
             reader.next();
             if (chance(2)) {
-                wire.write(wired("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"));
+                connection.write(encode("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"));
                 return;
             }
-            ran(body);
-            later(() -> {
+            countRun(body);
+            runLater(() -> {
                 if (chance(2)) {
-                    seen.count("node drops");
-                    gone = true;
-                    wire.cut();
+                    injectedFaults.count("node disconnects");
+                    closed = true;
+                    connection.cut();
                     return;
                 }
                 String line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"did " + body + "\"}\n";
-                wire.write(wired("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                connection.write(encode("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n0\r\n\r\n"));
             });
         }
     }
 
-    /** A Gearman worker that grabs, runs and completes; sometimes it is lost mid-job and another one comes. */
-    private final class Worker extends StandIn {
+    /** A Gearman worker that completes jobs; sometimes it disconnects during a job and a new worker connects. */
+    private final class GearmanWorker extends SimulatedPeer {
         private final PacketReader reader = new PacketReader(Packet.RESPONSE, false, 1 << 17);
 
-        private void say(Packet.Type type, Object... arguments) {
-            if (!gone) {
-                wire.write(Packet.bytes(Packet.REQUEST, type, arguments));
+        private void send(Packet.Type type, Object... arguments) {
+            if (!closed) {
+                connection.write(Packet.bytes(Packet.REQUEST, type, arguments));
             }
         }
 
         @Override
         public void opened() {
-            say(Packet.Type.CAN_DO, "route-plan");
-            say(Packet.Type.CAN_DO, "pickup-order");
-            say(Packet.Type.GRAB_JOB_UNIQ);
+            send(Packet.Type.CAN_DO, "route-plan");
+            send(Packet.Type.CAN_DO, "pickup-order");
+            send(Packet.Type.GRAB_JOB_UNIQ);
         }
 
         @Override
         public void bytes(ByteBuffer in) {
-            for (Packet p = next(reader, in); p != null; p = next(reader, in)) {
-                switch (p.type()) {
-                    case NO_JOB -> say(Packet.Type.PRE_SLEEP);
-                    case NOOP -> say(Packet.Type.GRAB_JOB_UNIQ);
-                    case JOB_ASSIGN_UNIQ -> run(p.text(0), p.text(3));
-                    default -> throw new AssertionError(p);
+            for (Packet packet = nextPacket(reader, in); packet != null; packet = nextPacket(reader, in)) {
+                switch (packet.type()) {
+                    case NO_JOB -> send(Packet.Type.PRE_SLEEP);
+                    case NOOP -> send(Packet.Type.GRAB_JOB_UNIQ);
+                    case JOB_ASSIGN_UNIQ -> run(packet.text(0), packet.text(3));
+                    default -> throw new AssertionError(packet);
                 }
             }
         }
 
         private void run(String handle, String body) {
-            ran(body);
-            later(() -> {
+            countRun(body);
+            runLater(() -> {
                 if (chance(2)) {
-                    seen.count("worker drops");
-                    gone = true;
-                    wire.cut();
-                    loop.dial(gearman, w -> new Worker().on(w));
+                    injectedFaults.count("worker disconnects");
+                    closed = true;
+                    connection.cut();
+                    loop.dial(gearmanAddress, w -> new GearmanWorker().attach(w));
                 } else {
-                    say(Packet.Type.WORK_COMPLETE, handle, "did " + body);
-                    say(Packet.Type.GRAB_JOB_UNIQ);
+                    send(Packet.Type.WORK_COMPLETE, handle, "did " + body);
+                    send(Packet.Type.GRAB_JOB_UNIQ);
                 }
             });
         }
     }
 
-    /** A machine's feeding; the scheduler's bytes must never be malformed. */
-    private interface Feeding {
-        boolean whole() throws BadMessage;
+    /** One call of an HTTP parser; returns whether a message is complete. */
+    private interface MessageParser {
+        boolean feed() throws BadMessage;
     }
 
-    private static boolean whole(Feeding feeding) {
+    /** Feeds a parser and fails the test if the scheduler sent a malformed message. */
+    private static boolean feedValid(MessageParser parser) {
         try {
-            return feeding.whole();
+            return parser.feed();
         } catch (BadMessage e) {
             throw new AssertionError(e);
         }
     }
 
-    private static Packet next(PacketReader reader, ByteBuffer in) {
+    private static Packet nextPacket(PacketReader reader, ByteBuffer in) {
         try {
             return reader.next(in);
         } catch (PacketReader.BadPacket e) {
@@ -191,39 +192,39 @@
         }
     }
 
-    private String begin(String kind) {
-        begun++;
-        open++;
-        return (chance(30) ? "pickup-order" : "route-plan") + ":" + kind + begun;
+    private String beginJob(String front) {
+        begunJobs++;
+        openJobs++;
+        return (chance(30) ? "pickup-order" : "route-plan") + ":" + front + begunJobs;
     }
 
-    private static String cls(String job) {
+    private static String classOf(String job) {
         return job.substring(0, job.indexOf(':'));
     }
 
-    /** A front desk by HTTP, a job after the other; sometimes it hangs up in the middle and goes on with the next. */
-    private final class Desk extends StandIn {
+    /** An HTTP client that sends one job at a time; sometimes it disconnects during a job and starts the next one. */
+    private final class HttpClient extends SimulatedPeer {
         private final AnswerReader reader = new AnswerReader(1 << 17);
         private String job;
 
         @Override
         public void opened() {
-            if (begun == JOBS) {
+            if (begunJobs == JOBS) {
                 return;
             }
-            job = begin("http");
-            wire.write(wired("POST /" + cls(job) + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + begun + "\r\nX-Remaining-Ms: "
-                    + "20000\r\nContent-Length: " + job.length() + "\r\n\r\n" + job));
+            job = beginJob("http");
+            connection.write(encode("POST /" + classOf(job) + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + begunJobs
+                    + "\r\nX-Remaining-Ms: " + "20000\r\nContent-Length: " + job.length() + "\r\n\r\n" + job));
             if (chance(2)) {
-                String left = job;
+                String abandoned = job;
                 wheel.at(now + 4, () -> {
-                    if (!gone && left.equals(job)) {
-                        seen.count("desk hangs up");
-                        gone = true;
-                        wire.cut();
-                        answered(job, "left");
-                        open--;
-                        loop.dial(front, w -> new Desk().on(w));
+                    if (!closed && abandoned.equals(job)) {
+                        injectedFaults.count("HTTP client disconnects");
+                        closed = true;
+                        connection.cut();
+                        recordAnswer(job, "left");
+                        openJobs--;
+                        loop.dial(httpAddress, w -> new HttpClient().attach(w));
                     }
                 });
             }
@@ -231,75 +232,75 @@
 
         @Override
         public void bytes(ByteBuffer in) {
-            if (!whole(() -> reader.feed(in))) {
+            if (!feedValid(() -> reader.feed(in))) {
                 return;
             }
-            assertThat(in.hasRemaining()).as("a second answer").isFalse();
+            assertThat(in.hasRemaining()).as("bytes after the answer").isFalse();
             String body = StandardCharsets.ISO_8859_1.decode(reader.body()).toString();
             assertThat(reader.status() == 200 ? body : "did " + job).isEqualTo("did " + job);
-            answered(job, String.valueOf(reader.status()));
-            open--;
+            recordAnswer(job, String.valueOf(reader.status()));
+            openJobs--;
             reader.next();
             job = null;
             opened();
         }
     }
 
-    /** A Gearman client, a job after the other; sometimes it leaves and resubmits, or resubmits what is done. */
-    private final class Client extends StandIn {
+    /** A Gearman client that sends one job at a time; sometimes it reconnects and resubmits it or a done one. */
+    private final class GearmanClient extends SimulatedPeer {
         private final PacketReader reader = new PacketReader(Packet.RESPONSE, false, 1 << 17);
         private String job;
-        private boolean again;
+        private boolean resubmitted;
 
         @Override
         public void opened() {
             if (job == null) {
-                if (begun == JOBS) {
+                if (begunJobs == JOBS) {
                     return;
                 }
-                job = begin("gearman");
+                job = beginJob("gearman");
             }
-            wire.write(Packet.bytes(Packet.REQUEST, Packet.Type.SUBMIT_JOB, cls(job), job, job));
+            connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.SUBMIT_JOB, classOf(job), job, job));
         }
 
         @Override
         public void bytes(ByteBuffer in) {
-            for (Packet p = next(reader, in); p != null && !gone; p = next(reader, in)) {
-                switch (p.type()) {
+            for (Packet packet = nextPacket(reader, in); packet != null && !closed; packet = nextPacket(reader, in)) {
+                switch (packet.type()) {
                     case JOB_CREATED -> {
-                        if (chance(4) && !again) {
-                            later(this::leaveAndResubmit);
+                        if (chance(4) && !resubmitted) {
+                            runLater(this::leaveAndResubmit);
                         }
                     }
-                    case WORK_COMPLETE -> done(p.text(1));
-                    case WORK_FAIL -> done("failed");
-                    default -> throw new AssertionError(p);
+                    case WORK_COMPLETE -> complete(packet.text(1));
+                    case WORK_FAIL -> complete("failed");
+                    default -> throw new AssertionError(packet);
                 }
             }
         }
 
         private void leaveAndResubmit() {
-            if (!gone && job != null && !again) {
-                seen.count("client resubmits");
-                gone = true;
-                wire.cut();
-                Client next = new Client();
-                next.job = job;
-                loop.dial(gearman, next::on);
+            if (!closed && job != null && !resubmitted) {
+                injectedFaults.count("Gearman client resubmits");
+                closed = true;
+                connection.cut();
+                GearmanClient successor = new GearmanClient();
+                successor.job = job;
+                loop.dial(gearmanAddress, successor::attach);
             }
         }
 
-        private void done(String outcome) {
-            assertThat(job).as("an answer for nothing").isNotNull();
-            if (again) {
+        private void complete(String outcome) {
+            assertThat(job).as("an answer without an open job").isNotNull();
+            if (resubmitted) {
                 assertThat(outcome).as("kept outcome of " + job).isEqualTo(outcomes.get(job));
-                again = false;
+                resubmitted = false;
             } else {
-                answered(job, outcome);
-                open--;
+                recordAnswer(job, outcome);
+                openJobs--;
                 if (chance(4)) {
-                    seen.count("resubmits of what is done");
-                    again = true;
+                    injectedFaults.count("finished job is resubmitted");
+                    resubmitted = true;
                     opened();
                     return;
                 }
@@ -310,18 +311,18 @@
     }
 
     /**
-     * Guards the promise of the second front: mixed with the first, over 10,000 jobs with lost workers, broken nodes,
-     * clients that leave and resubmit, no order runs twice and each job gets one answer.
+     * Guards against double runs when jobs of both fronts are mixed: over 10,000 jobs, with workers and nodes that
+     * disconnect and clients that leave and resubmit, no order runs twice and each job gets one answer.
      */
     @Test
     void noOrderRunsTwiceOnMixedFronts() throws IOException {
         loop = new SelectorLoop(() -> now, wheel, counters, log::add);
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            InetSocketAddress at = loop.listen(anywhere(), w -> new HttpNode().on(w), 100, () -> false)
+            InetSocketAddress address = loop.listen(anyLoopbackPort(), w -> new HttpNode().attach(w), 100, () -> false)
                     .address();
             hosts.append(i > 0 ? "," : "")
-                    .append("{\"host\":\"n" + i + "\",\"dial\":\"127.0.0.1:" + at.getPort()
+                    .append("{\"host\":\"n" + i + "\",\"dial\":\"127.0.0.1:" + address.getPort()
                             + "\",\"site\":\"p\",\"class\":\"k\",\"health\":\"up\"}");
         }
         Json.Fields raw = Json.object(
@@ -330,17 +331,17 @@
                 "known", ("{\"seq\":1,\"whole\":true,\"hosts\":[" + hosts + "]}").getBytes(StandardCharsets.UTF_8));
         NodeConfig config = new NodeConfig(
                 "t",
-                anywhere(),
-                anywhere(),
+                anyLoopbackPort(),
+                anyLoopbackPort(),
                 7,
                 1024,
                 SettingsReader.settings(raw),
                 raw,
                 known,
-                GearmanConfig.usual(anywhere()),
+                GearmanConfig.usual(anyLoopbackPort()),
                 null,
                 null);
-        DispatchCore room = new DispatchCore(
+        DispatchCore core = new DispatchCore(
                 config.settings(),
                 7,
                 () -> now,
@@ -348,43 +349,50 @@
                 counters,
                 new DispatchCore.Bounds(1000, 1 << 24, JOBS, 1 << 24),
                 log::add);
-        LoopContext kit = new LoopContext(loop, () -> now, wheel, counters, log::add);
-        Platform platform = new Platform(config, room, kit, loop::lagMs);
-        GearmanFront door = new GearmanFront(config, "0", room, kit, () -> {});
-        front = loop.listen(anywhere(), platform::accept, 100, () -> false).address();
-        gearman = loop.listen(anywhere(), door::accept, 100, () -> false).address();
+        LoopContext context = new LoopContext(loop, () -> now, wheel, counters, log::add);
+        Platform platform = new Platform(config, core, context, loop::lagMs);
+        GearmanFront gearmanFront = new GearmanFront(config, "0", core, context, () -> {});
+        httpAddress = loop.listen(anyLoopbackPort(), platform::accept, 100, () -> false)
+                .address();
+        gearmanAddress = loop.listen(anyLoopbackPort(), gearmanFront::accept, 100, () -> false)
+                .address();
         platform.begin();
         for (int i = 0; i < 10; i++) {
-            loop.dial(gearman, w -> new Worker().on(w));
-            loop.dial(front, w -> new Desk().on(w));
-            loop.dial(gearman, w -> new Client().on(w));
+            loop.dial(gearmanAddress, w -> new GearmanWorker().attach(w));
+            loop.dial(httpAddress, w -> new HttpClient().attach(w));
+            loop.dial(gearmanAddress, w -> new GearmanClient().attach(w));
         }
-        for (int turns = 0; (begun < JOBS || open > 0) && turns < 2_000_000; turns++) {
+        for (int turns = 0; (begunJobs < JOBS || openJobs > 0) && turns < 2_000_000; turns++) {
             loop.turn(0);
-            now += TURN_MS;
+            now += TICK_MS;
         }
         loop.run(() -> true);
 
         assertThat(log).filteredOn(l -> l.contains("fault")).isEmpty();
-        assertThat(open).as("jobs without an answer").isZero();
-        assertThat(answers).hasSize(JOBS);
-        assertThat(answers.values()).as("answers a job").containsOnly(1);
-        assertThat(runs.entrySet().stream().filter(e -> cls(e.getKey()).equals("pickup-order") && e.getValue() > 1))
+        assertThat(openJobs).as("jobs without an answer").isZero();
+        assertThat(answerCounts).hasSize(JOBS);
+        assertThat(answerCounts.values()).as("answers per job").containsOnly(1);
+        assertThat(runCounts.entrySet().stream()
+                        .filter(e -> classOf(e.getKey()).equals("pickup-order") && e.getValue() > 1))
                 .as("orders that ran twice")
                 .isEmpty();
         assertThat(counters.of("guard.unanswered") + counters.of("guard.repeat"))
                 .isZero();
         assertThat(List.of(
-                        "node drops", "worker drops", "desk hangs up", "client resubmits", "resubmits of what is done"))
-                .allMatch(what -> seen.of(what) > 20);
+                        "node disconnects",
+                        "worker disconnects",
+                        "HTTP client disconnects",
+                        "Gearman client resubmits",
+                        "finished job is resubmitted"))
+                .allMatch(fault -> injectedFaults.of(fault) > 20);
         assertThat(counters.of("jobs.joined")).isPositive();
-        assertThat(runs.values().stream().filter(n -> n > 1))
-                .as("route plans that went again")
+        assertThat(runCounts.values().stream().filter(n -> n > 1))
+                .as("route plans that ran again")
                 .isNotEmpty();
         assertThat(outcomes.values().stream()
                         .filter(o -> o.startsWith("did ") || o.equals("200"))
                         .count())
-                .as("served")
+                .as("served jobs")
                 .isGreaterThan(JOBS * 9 / 10);
     }
 }
