--- a/src/test/java/plumpost/Scenario.java
+++ b/src/test/java/plumpost/Scenario.java
@@ -32,8 +32,8 @@
 import plumpost.time.TimerWheel;
 
 /**
- * Runs a whole scheduler in memory for scenario tests, with a clock that advances only in {@code wait} steps and when
- * a node expects an order. Each line of a scenario is {@code peer verb arguments}:
+ * Runs a whole scheduler in memory for scenario tests, with a clock that stands still between steps. Each line of a
+ * scenario is {@code peer verb arguments}:
  *
  * <pre>
  * desk1 send POST /route-plan a 8000 body    an HTTP client's request; "..." sends raw bytes
@@ -68,7 +68,9 @@
 
     public final DispatchCore room;
     private final NodeConfig config;
-    public boolean stopped;
+    /** Whether the Gearman front has asked for the process to stop. */
+    public boolean stopRequested;
+
     private final TimerWheel wheel = new TimerWheel(now);
     private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
     private final Map<String, MemoryConnection> connections = new HashMap<>();
@@ -126,7 +128,7 @@
                 log::add);
         LoopContext context = new LoopContext(this::dial, () -> now, wheel, counters, log::add);
         platform = new Platform(config, room, context, () -> 0);
-        gearman = new GearmanFront(config, "0", room, context, () -> stopped = true);
+        gearman = new GearmanFront(config, "0", room, context, () -> stopRequested = true);
         control = new ControlServer(
                 new InetSocketAddress("127.0.0.1", 9600),
                 16,
--- a/src/test/java/plumpost/SocketRig.java
+++ b/src/test/java/plumpost/SocketRig.java
@@ -309,7 +309,7 @@
         private final SocketChannel channel;
         private final StringBuilder text = new StringBuilder();
         /** Whether the scheduler has closed its sending side. */
-        public boolean ended;
+        public boolean inputEnded;
         /** Whether reading or writing has failed, as after a reset. */
         public boolean reset;
 
@@ -354,9 +354,9 @@
             ByteBuffer buffer = ByteBuffer.allocate(4096);
             try {
                 for (int n = channel.read(buffer);
-                        n != 0 && !ended && !reset;
-                        n = ended ? 0 : channel.read(buffer.clear())) {
-                    ended = n < 0;
+                        n != 0 && !inputEnded && !reset;
+                        n = inputEnded ? 0 : channel.read(buffer.clear())) {
+                    inputEnded = n < 0;
                     text.append(StandardCharsets.ISO_8859_1.decode(buffer.flip()));
                 }
             } catch (IOException exception) {
@@ -376,7 +376,7 @@
         /** Whether the scheduler has closed its sending side or the connection has failed. */
         public boolean over() {
             text();
-            return ended || reset;
+            return inputEnded || reset;
         }
 
         /** Closes the sending side and keeps reading. */
