--- a/src/main/java/plumpost/lab/SchedulerProcess.java
+++ b/src/main/java/plumpost/lab/SchedulerProcess.java
@@ -47,7 +47,7 @@
      * @param bytesRead bytes returned by its read calls
      * @param bytesWritten bytes passed to its write calls
      */
-    public record Account(
+    public record ResourceUsage(
             double cpuSeconds, long residentKb, long peakKb, int descriptors, long bytesRead, long bytesWritten) {}
 
     private final Process process;
@@ -173,7 +173,7 @@
     }
 
     /** Reads the current resource usage. */
-    public Account account() throws IOException {
+    public ResourceUsage account() throws IOException {
         Path system = Path.of("/proc", Long.toString(process.pid()));
         String stat = Files.readString(system.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -182,7 +182,7 @@
         try (Stream<Path> open = Files.list(system.resolve("fd"))) {
             descriptors = (int) open.count();
         }
-        return new Account(
+        return new ResourceUsage(
                 cpuSeconds,
                 field(system.resolve("status"), "VmRSS:"),
                 field(system.resolve("status"), "VmHWM:"),
--- a/src/main/java/plumpost/lab/gearman/LoadPlan.java
+++ b/src/main/java/plumpost/lab/gearman/LoadPlan.java
@@ -42,7 +42,7 @@
         double patienceS,
         int threads) {
     /** Returns the number of all jobs, including the warm-up. */
-    public int all() {
+    public int totalJobs() {
         return warmup + jobs;
     }
 }
--- a/src/main/java/plumpost/lab/gearman/LoadRun.java
+++ b/src/main/java/plumpost/lab/gearman/LoadRun.java
@@ -53,7 +53,7 @@
     /** Creates a run of a plan. */
     public LoadRun(LoadPlan plan) throws IOException {
         this.plan = plan;
-        audit = new Audit(plan.all());
+        audit = new Audit(plan.totalJobs());
         clientThread = new LoadThread(plan, audit, 0);
         arrivals = new SplittableRandom(plan.seed());
     }
@@ -106,18 +106,18 @@
                 }
             }
         }
-        while (begun < plan.all() || ended < plan.all() + resubmitted) {
+        while (begun < plan.totalJobs() || ended < plan.totalJobs() + resubmitted) {
             double now = clientThread.clock.nowMs();
             if (Double.isNaN(countedFrom) && begun >= plan.warmup()) {
                 countedFrom = now;
                 warmupEnded = ended;
                 meter.begin();
             }
-            while (plan.ratePerS() > 0 && nextArrival <= now && begun < plan.all()) {
+            while (plan.ratePerS() > 0 && nextArrival <= now && begun < plan.totalJobs()) {
                 submit(clients.get(begun % clients.size()), nextArrival);
                 nextArrival += -SECOND_MS / plan.ratePerS() * Math.log(1 - arrivals.nextDouble());
             }
-            if (begun < plan.all()) {
+            if (begun < plan.totalJobs()) {
                 lastSubmit = now;
             } else if (now > lastSubmit + plan.patienceS() * SECOND_MS) {
                 break; // jobs without an answer by now count as lost
@@ -127,7 +127,7 @@
                 nextSecond += SECOND_MS;
             }
             clientThread.loop.turn(
-                    begun < plan.all() && plan.ratePerS() > 0 ? Math.min(1, Math.floor(nextArrival - now)) : 1);
+                    begun < plan.totalJobs() && plan.ratePerS() > 0 ? Math.min(1, Math.floor(nextArrival - now)) : 1);
         }
         tookMs = clientThread.clock.nowMs() - countedFrom;
         meter.end();
@@ -181,7 +181,7 @@
     }
 
     private void submit(LoadClient client, double scheduledAt) {
-        if (begun >= plan.all()) {
+        if (begun >= plan.totalJobs()) {
             return;
         }
         int number = begun++;
--- a/src/main/java/plumpost/lab/scale/ScaleRun.java
+++ b/src/main/java/plumpost/lab/scale/ScaleRun.java
@@ -101,11 +101,11 @@
             emulated.startChanges(changes);
             Thread.sleep(SETTLE_MS);
             emulated.resetLag();
-            SchedulerProcess.Account before = scheduler.account();
+            SchedulerProcess.ResourceUsage before = scheduler.account();
             double ownBefore = ownCpuSeconds();
             long sentBefore = emulated.callOnLoop(jobs::sent);
             Thread.sleep(plan.seconds() * 1000L);
-            SchedulerProcess.Account after = scheduler.account();
+            SchedulerProcess.ResourceUsage after = scheduler.account();
             long sent = emulated.callOnLoop(jobs::sent) - sentBefore;
             double ownCores = (ownCpuSeconds() - ownBefore) / plan.seconds();
             boolean valid = emulated.worstLagMs() < MAX_LAB_LAG_MS && ownCores < MAX_LAB_CORES;
@@ -115,8 +115,8 @@
     }
 
     private Map<String, Double> figures(
-            SchedulerProcess.Account before,
-            SchedulerProcess.Account after,
+            SchedulerProcess.ResourceUsage before,
+            SchedulerProcess.ResourceUsage after,
             long sent,
             JobSource jobs,
             EmulatedFleet emulated) {
