--- a/src/main/java/plumpost/benchlink/EventReader.java
+++ b/src/main/java/plumpost/benchlink/EventReader.java
@@ -17,7 +17,7 @@
                 (int) fields.number("area", 0),
                 (int) fields.number("type", 0),
                 (int) fields.number("stripe", 0),
-                fields.oneOf("phase", Dispatcher.Phase.class),
+                fields.enumValue("phase", Dispatcher.Phase.class),
                 fields.number("units", 1),
                 fields.number("cameUpMs", 0));
     }
--- a/src/main/java/plumpost/benchlink/WireHost.java
+++ b/src/main/java/plumpost/benchlink/SimulatorHost.java
@@ -25,7 +25,7 @@
  * Connects dispatchers to a simulator over JSON lines. Each batch of events gets one reply, which holds the actions of the
  * instances that the events were for. All decisions are made by the instances.
  */
-public final class WireHost {
+public final class SimulatorHost {
     private final JsonParser in;
     private final OutputStream out;
     private final PrintStream err;
@@ -38,7 +38,7 @@
     private record Instance(Logic logic, boolean freeSlots) {}
 
     /** Creates a host that reads batches from {@code in}, writes replies to {@code out} and errors to {@code err}. */
-    public WireHost(InputStream in, OutputStream out, PrintStream err) throws IOException {
+    public SimulatorHost(InputStream in, OutputStream out, PrintStream err) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.in = factory.createParser(in);
         this.out = out;
@@ -82,10 +82,10 @@
     /** Handles the events of a batch up to yourTurn, then writes the reply. */
     private void handleBatch(Json.Fields head) throws IOException {
         if (!head.text("event_type").equals("beginBatch")) {
-            throw new Json.BadInput(head.where() + ": expected beginBatch");
+            throw new Json.BadInput(head.context() + ": expected beginBatch");
         }
         double now = head.number("tsMs");
-        long seq = head.longWhole("seq");
+        long seq = head.longInteger("seq");
         reply.reset();
         while (true) {
             if (in.nextToken() == null) {
@@ -128,7 +128,7 @@
                 return;
             }
         }
-        int index = event.whole("i");
+        int index = event.integer("i");
         if (type.equals("init")) {
             Json.Fields config = event.object("config");
             try {
@@ -136,7 +136,7 @@
                 instances.put(
                         index,
                         new Instance(
-                                new Logic(settings, event.longWhole("entropy"), new InstanceActions(index)),
+                                new Logic(settings, event.longInteger("entropy"), new InstanceActions(index)),
                                 settings.reportsFreeSlots()));
             } catch (IllegalArgumentException e) {
                 throw new Json.BadInput("init: " + e.getMessage());
@@ -167,17 +167,17 @@
         Dispatcher dispatcher = instance.logic;
         switch (type) {
             case "discovery" -> {
-                Dispatcher.ListMode mode = event.oneOf("mode", Dispatcher.ListMode.class);
+                Dispatcher.ListMode mode = event.enumValue("mode", Dispatcher.ListMode.class);
                 List<Dispatcher.WorkerEntry> entries = new ArrayList<>();
                 for (Object line : event.listOrEmpty("lines")) {
                     entries.add(EventReader.readWorkerEntry(line));
                 }
-                return () -> dispatcher.workers(now, mode, entries);
+                return () -> dispatcher.onWorkerList(now, mode, entries);
             }
             case "knock" -> {
                 Dispatcher.Job job = new Dispatcher.Job(
                         event.text("handle"),
-                        event.whole("band"),
+                        event.integer("band"),
                         (int) event.number("team", 0),
                         event.text("affinity", null),
                         event.number("patienceLeftMs"),
@@ -185,59 +185,59 @@
                         event.number("needs", 1),
                         event.number("memory", Double.NaN),
                         event.flag("retry", false));
-                return () -> dispatcher.arrived(now, job);
+                return () -> dispatcher.onJobArrived(now, job);
             }
             case "flowing" -> {
                 String job = event.text("handle");
-                int attempt = event.whole("try");
+                int attempt = event.integer("try");
                 String worker = event.text("worker");
-                return () -> dispatcher.streaming(now, job, attempt, worker);
+                return () -> dispatcher.onAnswerStreaming(now, job, attempt, worker);
             }
             case "note" -> {
                 String job = event.text("handle");
-                int attempt = event.whole("try");
+                int attempt = event.integer("try");
                 String worker = event.text("worker");
-                int topic = event.whole("topic");
+                int topic = event.integer("topic");
                 double amount = event.number("amount", 0);
                 return topic == 1
-                        ? () -> dispatcher.started(now, job, attempt, worker)
-                        : topic == 2 ? () -> dispatcher.progressed(now, job, attempt, worker, amount) : () -> {};
+                        ? () -> dispatcher.onAttemptStarted(now, job, attempt, worker)
+                        : topic == 2 ? () -> dispatcher.onAttemptProgress(now, job, attempt, worker, amount) : () -> {};
             }
             case "result" -> {
                 Dispatcher.Outcome outcome = new Dispatcher.Outcome(
                         event.text("handle"),
-                        event.whole("try"),
+                        event.integer("try"),
                         event.text("worker"),
-                        event.oneOf("ending", Dispatcher.Ending.class),
+                        event.enumValue("ending", Dispatcher.Ending.class),
                         event.number("waitTimeMs", 0),
                         event.flag("noMore", false),
                         EventReader.readLoadReport(event, instance.freeSlots));
-                return () -> dispatcher.ended(now, outcome);
+                return () -> dispatcher.onAttemptEnded(now, outcome);
             }
             case "expired" -> {
                 String job = event.text("handle");
-                return () -> dispatcher.clientGone(now, job);
+                return () -> dispatcher.onClientGone(now, job);
             }
             case "bell" -> {
-                long token = event.longWhole("name");
-                return () -> dispatcher.timer(now, token);
+                long token = event.longInteger("name");
+                return () -> dispatcher.onTimer(now, token);
             }
             case "probed" -> {
                 String worker = event.text("worker");
-                Dispatcher.Ending ending = event.oneOf("ending", Dispatcher.Ending.class);
+                Dispatcher.Ending ending = event.enumValue("ending", Dispatcher.Ending.class);
                 double waitMs = event.number("waitTimeMs", 0);
                 Dispatcher.LoadReport report = EventReader.readLoadReport(event, instance.freeSlots);
-                return () -> dispatcher.probed(now, worker, ending, waitMs, report);
+                return () -> dispatcher.onProbeResult(now, worker, ending, waitMs, report);
             }
             default -> {
-                int from = event.whole("srcPeer");
+                int from = event.integer("srcPeer");
                 byte[] bytes;
                 try {
                     bytes = Base64.getDecoder().decode(event.text("bytes"));
                 } catch (IllegalArgumentException e) {
                     throw new Json.BadInput("peerData: field bytes is not base64");
                 }
-                return () -> dispatcher.peerMessage(now, from, bytes);
+                return () -> dispatcher.onPeerMessage(now, from, bytes);
             }
         }
     }
@@ -301,12 +301,12 @@
         }
 
         @Override
-        public void timer(double atMs, long token) {
+        public void requestTimer(double atMs, long token) {
             write("wakeMe", "momentMs", atMs, "name", token);
         }
 
         @Override
-        public void subscribe() {
+        public void requestWorkerList() {
             write("streamChanges", "on", true);
         }
 
--- a/src/main/java/plumpost/cli/FleetCommands.java
+++ b/src/main/java/plumpost/cli/FleetCommands.java
@@ -44,8 +44,8 @@
                 throw new ParseException("usage: " + USAGE);
             }
             NodeConfig config = NodeConfig.read(Serve.configPath(line.getOptionValue("config")), System.getenv());
-            PeersConfig peers = PeersConfig.of(config);
-            LinesProvider.begin("fleet", false);
+            PeersConfig peers = PeersConfig.fromNodeConfig(config);
+            LinesProvider.configure("fleet", false);
             String answer = Peers.maker().call(peers, command, arguments.size() > 1 ? arguments.get(1) : "");
             out.println(command.equals("show") && !line.hasOption("json") ? text(answer) : answer);
             return 0;
@@ -59,7 +59,7 @@
     private static String text(String json) {
         Fields report = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8));
         StringBuilder text = new StringBuilder(
-                "leader " + report.text("leader") + ", record format " + report.whole("format") + "\n\n");
+                "leader " + report.text("leader") + ", record format " + report.integer("format") + "\n\n");
         text.append(String.format("%-20s %-9s %12s  %-12s %s%n", "member", "state", "incarnation", "site", "vote"));
         for (Object item : report.list("members")) {
             Fields member = Json.fields("members", item);
@@ -67,7 +67,7 @@
                     "%-20s %-9s %12d  %-12s %s%n",
                     member.text("name"),
                     member.text("state"),
-                    member.longWhole("incarnation"),
+                    member.longInteger("incarnation"),
                     member.text("site"),
                     member.flag("vote", false) ? "yes" : "no"));
         }
@@ -76,7 +76,7 @@
             Fields duty = Json.fields("duties", item);
             text.append(String.format(
                     "%-28s %-20s %8d  %s%n",
-                    duty.text("name"), duty.text("owner"), duty.longWhole("fence"), duty.text("site")));
+                    duty.text("name"), duty.text("owner"), duty.longInteger("fence"), duty.text("site")));
         }
         Map<String, Object> schedule = report.object("schedule").map();
         text.append("\noffline by hand: ")
--- a/src/main/java/plumpost/cli/FleetHost.java
+++ b/src/main/java/plumpost/cli/FleetHost.java
@@ -51,23 +51,23 @@
         if (gearman == null && !peers.covered().classes().isEmpty()) {
             throw new BadInput("configuration: peers: field covers needs the section gearman");
         }
-        Fleet fleet = Peers.maker().make(peers, new FleetHost(core, platform, gearman), context, loop::onLoop);
+        Fleet fleet = Peers.maker().make(peers, new FleetHost(core, platform, gearman), context, loop::execute);
         controlOperations.joinFleet(fleet);
         if (gearman != null) {
-            gearman.in(fleet);
+            gearman.joinFleet(fleet);
         }
-        platform.in(fleet::heard);
+        platform.joinFleet(fleet::onDiscoveryLine);
         return fleet;
     }
 
     @Override
     public void banned(String node, boolean out) {
-        core.banned(node, out);
+        core.applyFleetBan(node, out);
     }
 
     @Override
     public Collection<String> functions() {
-        return gearman == null ? List.of() : gearman.served();
+        return gearman == null ? List.of() : gearman.servedFunctions();
     }
 
     @Override
@@ -78,22 +78,22 @@
     @Override
     public void callBack(String id) {
         if (gearman != null) {
-            gearman.callBack(id);
+            gearman.recallPlanned(id);
         }
     }
 
     @Override
-    public void told(String line) {
-        platform.told(line);
+    public void onNodeListLine(String line) {
+        platform.applyFleetLine(line);
     }
 
     @Override
-    public void ask(boolean itself, boolean whole) {
-        platform.ask(itself, whole);
+    public void setDiscoveryQueries(boolean itself, boolean whole) {
+        platform.setAsking(itself, whole);
     }
 
     @Override
-    public boolean hears() {
-        return platform.hears();
+    public boolean discoveryAnswers() {
+        return platform.isListening();
     }
 }
--- a/src/main/java/plumpost/cli/Main.java
+++ b/src/main/java/plumpost/cli/Main.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.HelpFormatter;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import plumpost.benchlink.WireHost;
+import plumpost.benchlink.SimulatorHost;
 import plumpost.config.Json;
 import plumpost.config.Json.BadInput;
 import plumpost.config.NodeConfig;
@@ -69,7 +69,7 @@
                     out.println("configuration of " + config.name() + " is valid");
                 }
                 case "benchlink" -> {
-                    return new WireHost(System.in, out, err).run();
+                    return new SimulatorHost(System.in, out, err).run();
                 }
                 case "version" -> out.println("plumpost " + version());
                 case "help" -> new HelpFormatter().printHelp(USAGE, options);
--- a/src/main/java/plumpost/cli/Serve.java
+++ b/src/main/java/plumpost/cli/Serve.java
@@ -22,9 +22,9 @@
 import plumpost.dispatch.DispatchCore;
 import plumpost.front.Front;
 import plumpost.gearman.GearmanFront;
+import plumpost.http.AnswerEncoder;
 import plumpost.http.AnswerReader;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.log.Logs;
 import plumpost.net.ConnectionHandler;
 import plumpost.net.LoopContext;
@@ -112,7 +112,7 @@
                 ? null
                 : new SharedBans(sharedDirectory(), core, context);
         ControlOperations controlOperations = new ControlOperations(
-                core, counters, sharedBans, () -> serving && Double.isNaN(stopRequestedAtMs) && platform.listed());
+                core, counters, sharedBans, () -> serving && Double.isNaN(stopRequestedAtMs) && platform.mayServe());
         if (config.ops() != null) {
             fronts.add(new ControlServer(
                     config.ops(), maxControlConnections(config.sockets()), context, controlOperations));
@@ -135,7 +135,7 @@
 
     /** Returns the core's limits; by default a fifth of the heap for bodies of open jobs and a tenth for kept outcomes. */
     static DispatchCore.Bounds coreBounds(long heapBytes, GearmanConfig gearman) {
-        GearmanConfig.Limits limits = gearman == null ? GearmanConfig.Limits.USUAL : gearman.limits();
+        GearmanConfig.Limits limits = gearman == null ? GearmanConfig.Limits.DEFAULT : gearman.limits();
         return new DispatchCore.Bounds(
                 limits.openJobs() > 0 ? limits.openJobs() : (int) Math.min(4096, heapBytes >> 14),
                 limits.jobBytes() > 0 ? limits.jobBytes() : heapBytes / 5,
@@ -174,7 +174,7 @@
     }
 
     int run() throws IOException {
-        Signals.handle(Signals.HANGUP, () -> loop.onLoop(this::onHangup));
+        Signals.handle(Signals.HANGUP, () -> loop.execute(this::onHangup));
         // Installed before the start, so that a signal during the start is not lost.
         Signals.handle(Signals.TERMINATE, this::onTerminate);
         String addresses;
@@ -191,7 +191,7 @@
         if (sharedBans != null) {
             sharedBans.start();
         }
-        WarmUp.play(config);
+        WarmUp.run(config);
         if (fleet != null) {
             fleet.begin();
         }
@@ -202,7 +202,7 @@
         core.startAudit();
         try {
             loop.run(this::isDone);
-            core.auditEnd();
+            core.finishAudit();
             System.err.print(counters);
             System.err.flush();
         } finally {
@@ -218,7 +218,7 @@
             counters.count("time.wall_steps");
             log("the wall clock stepped; durations follow the monotonic clock");
         }
-        wheel.at(clock.nowMs() + WALL_CLOCK_CHECK_INTERVAL_MS, this::watchWallClock);
+        wheel.schedule(clock.nowMs() + WALL_CLOCK_CHECK_INTERVAL_MS, this::watchWallClock);
     }
 
     private String openFronts() throws IOException {
@@ -245,7 +245,7 @@
                                     listener = loop.listen(
                                             address, handlerFactory, maxConnections, maxUnreadBytes, shedConnection);
                                 }
-                                return (batched ? listener.batched() : listener).address();
+                                return (batched ? listener.batchWrites() : listener).address();
                             }));
         }
         return addresses.toString();
@@ -256,21 +256,21 @@
         InetSocketAddress address = loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), platform::accept, 8, platform::shed)
                 .address();
-        WarmUp.play(config);
+        WarmUp.run(config);
         platform.ready();
         AnswerReader answer = new AnswerReader(1024);
         boolean[] finished = new boolean[1];
         loop.dial(address, connection -> new ConnectionHandler() {
             @Override
             public void opened() {
-                connection.write(Answers.ascii("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"));
+                connection.write(AnswerEncoder.ascii("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"));
             }
 
             @Override
-            public void bytes(ByteBuffer in) {
+            public void received(ByteBuffer in) {
                 try {
                     finished[0] = answer.feed(in);
-                } catch (BadMessage e) {
+                } catch (BadMessageException e) {
                     throw new IllegalStateException(e);
                 }
             }
@@ -287,12 +287,12 @@
     private boolean isDone() {
         boolean coreIdle = !Double.isNaN(stopRequestedAtMs)
                 && clock.nowMs() - stopRequestedAtMs >= NEW_CONNECTION_GRACE_MS
-                && core.open() == 0
-                && fronts.stream().allMatch(Front::quiet);
+                && core.openJobCount() == 0
+                && fronts.stream().allMatch(Front::isIdle);
         if (coreIdle && fleet != null) {
             fleet.idle();
         }
-        return coreIdle && (fleet == null || fleet.quiet());
+        return coreIdle && (fleet == null || fleet.closed());
     }
 
     /**
@@ -323,7 +323,7 @@
                 log("SIGHUP: the file is rejected, the old configuration stays: " + e.getMessage());
             }
             if (attemptsLeft > 1) {
-                wheel.at(clock.nowMs() + RELOAD_RETRY_INTERVAL_MS, () -> reload(round, attemptsLeft - 1));
+                wheel.schedule(clock.nowMs() + RELOAD_RETRY_INTERVAL_MS, () -> reload(round, attemptsLeft - 1));
             }
         }
     }
@@ -331,7 +331,7 @@
     /** On SIGTERM, on a JVM thread: the grace period starts now, even if the event loop reacts later. */
     private void onTerminate() {
         double signalledAtMs = clock.nowMs();
-        loop.onLoop(() -> stop(signalledAtMs));
+        loop.execute(() -> stop(signalledAtMs));
     }
 
     /** Shutdown hook for {@link System#exit}: stops the event loop in order and waits for its end. */
@@ -349,7 +349,7 @@
             return; // already stopping
         }
         stopRequestedAtMs = signalledAtMs;
-        log("stopping, " + core.open() + " jobs open, " + Math.round(clock.nowMs() - signalledAtMs)
+        log("stopping, " + core.openJobCount() + " jobs open, " + Math.round(clock.nowMs() - signalledAtMs)
                 + " ms after the signal was received");
         // The next process already accepts on the shared socket and takes all new connections.
         inheritedListeners.forEach(SelectorLoop.Listener::close);
--- a/src/main/java/plumpost/config/GearmanConfig.java
+++ b/src/main/java/plumpost/config/GearmanConfig.java
@@ -20,7 +20,7 @@
  * @param backgroundMs how long a background job may wait and run
  * @param returnMs time within which a worker that reconnects under its client id is not cold again
  * @param grabHoldMs how long a worker's grab may wait for a job before it is answered that there is none
- * @param allowed the restricted admin commands that are allowed
+ * @param allowedAdminCommands the restricted admin commands that are allowed
  * @param limits the front's resource limits
  */
 public record GearmanConfig(
@@ -31,11 +31,11 @@
         double backgroundMs,
         double returnMs,
         double grabHoldMs,
-        Set<String> allowed,
+        Set<String> allowedAdminCommands,
         Limits limits) {
 
     /** Assigns the functions whose names match to a class, given by its index. */
-    public record Rule(Pattern match, int cls) {}
+    public record Rule(Pattern match, int classIndex) {}
 
     /**
      * The front's resource limits.
@@ -65,15 +65,16 @@
             long jobBytes,
             int keptOutcomes) {
         /** The default limits. */
-        public static final Limits USUAL = new Limits(65 * 1024, 8 << 20, 0, 1024, 0, 65_536, 10_000, 8 << 20, 0, 0, 0);
+        public static final Limits DEFAULT =
+                new Limits(65 * 1024, 8 << 20, 0, 1024, 0, 65_536, 10_000, 8 << 20, 0, 0, 0);
     }
 
     /** The admin commands that are refused unless the configuration allows them. */
-    public static final Set<String> HARMFUL = Set.of("shutdown", "drop", "cancel", "create");
+    public static final Set<String> RESTRICTED_ADMIN_COMMANDS = Set.of("shutdown", "drop", "cancel", "create");
 
     /** Returns the default settings for a listening address. */
-    public static GearmanConfig usual(InetSocketAddress listen) {
-        return new GearmanConfig(listen, 0, 0, List.of(), 3_600_000, 30_000, 0, Set.of(), Limits.USUAL);
+    public static GearmanConfig withDefaults(InetSocketAddress listen) {
+        return new GearmanConfig(listen, 0, 0, List.of(), 3_600_000, 30_000, 0, Set.of(), Limits.DEFAULT);
     }
 
     /** Reads the section {@code gearman}; null if it names no address. */
@@ -90,21 +91,21 @@
         }
         List<Rule> rules = new ArrayList<>();
         for (Object item : section.listOrEmpty("functions")) {
-            Fields rule = Json.fields(section.where() + ".functions[" + rules.size() + "]", item);
+            Fields rule = Json.fields(section.context() + ".functions[" + rules.size() + "]", item);
             rule.allowOnly("match", "class");
             rules.add(new Rule(
                     globPattern(rule, rule.text("match")), requiredIndex(classes, rule, "class", rule.text("class"))));
         }
         Set<String> allowed = new java.util.HashSet<>();
         Fields admin = section.objectOrEmpty("admin");
-        admin.allowOnly(HARMFUL.toArray(String[]::new));
-        for (String command : HARMFUL) {
+        admin.allowOnly(RESTRICTED_ADMIN_COMMANDS.toArray(String[]::new));
+        for (String command : RESTRICTED_ADMIN_COMMANDS) {
             if (admin.flag(command, false)) {
                 allowed.add(command);
             }
         }
         return new GearmanConfig(
-                NodeListReader.address(section.where() + ".listen", listen),
+                NodeListReader.parseAddress(section.context() + ".listen", listen),
                 optionalIndex(settings.listOrEmpty("dcs"), section, "plant"),
                 optionalIndex(settings.listOrEmpty("shapes"), section, "model"),
                 List.copyOf(rules),
@@ -116,19 +117,19 @@
     }
 
     private static Limits limits(Fields section) {
-        Limits defaults = Limits.USUAL;
+        Limits defaults = Limits.DEFAULT;
         Map<String, Long> values = new LinkedHashMap<>();
-        values.put("packetBytes", section.whole("packetBytes", defaults.packetBytes, 1024, 64 << 20));
-        values.put("readingBytes", section.whole("readingBytes", defaults.readingBytes, 65_536, 1L << 32));
-        values.put("connections", section.whole("connections", defaults.connections, 0, 60_000));
-        values.put("functions", section.whole("functions", defaults.functions, 1, 65_536));
-        values.put("queue", section.whole("queue", defaults.queue, 0, 10_000_000));
-        values.put("jobsPerClient", section.whole("jobsPerClient", defaults.jobsPerClient, 1, 10_000_000));
-        values.put("scheduled", section.whole("scheduled", defaults.scheduled, 0, 1_000_000));
-        values.put("scheduledBytes", section.whole("scheduledBytes", defaults.scheduledBytes, 0, 1L << 32));
-        values.put("openJobs", section.whole("openJobs", defaults.openJobs, 0, 10_000_000));
-        values.put("jobBytes", section.whole("jobBytes", defaults.jobBytes, 0, 1L << 36));
-        values.put("keptOutcomes", section.whole("keptOutcomes", defaults.keptOutcomes, 0, 10_000_000));
+        values.put("packetBytes", section.integer("packetBytes", defaults.packetBytes, 1024, 64 << 20));
+        values.put("readingBytes", section.integer("readingBytes", defaults.readingBytes, 65_536, 1L << 32));
+        values.put("connections", section.integer("connections", defaults.connections, 0, 60_000));
+        values.put("functions", section.integer("functions", defaults.functions, 1, 65_536));
+        values.put("queue", section.integer("queue", defaults.queue, 0, 10_000_000));
+        values.put("jobsPerClient", section.integer("jobsPerClient", defaults.jobsPerClient, 1, 10_000_000));
+        values.put("scheduled", section.integer("scheduled", defaults.scheduled, 0, 1_000_000));
+        values.put("scheduledBytes", section.integer("scheduledBytes", defaults.scheduledBytes, 0, 1L << 32));
+        values.put("openJobs", section.integer("openJobs", defaults.openJobs, 0, 10_000_000));
+        values.put("jobBytes", section.integer("jobBytes", defaults.jobBytes, 0, 1L << 36));
+        values.put("keptOutcomes", section.integer("keptOutcomes", defaults.keptOutcomes, 0, 10_000_000));
         section.allowOnly(values.keySet().toArray(String[]::new));
         return new Limits(
                 values.get("packetBytes").intValue(),
@@ -147,7 +148,7 @@
     /** Compiles a glob in which {@code *} matches any characters and {@code ?} matches one. */
     private static Pattern globPattern(Fields fields, String glob) {
         if (glob.isEmpty()) {
-            throw new BadInput(fields.where() + ": field match is empty");
+            throw new BadInput(fields.context() + ": field match is empty");
         }
         StringBuilder regex = new StringBuilder();
         for (char character : glob.toCharArray()) {
@@ -163,7 +164,7 @@
     private static int requiredIndex(List<?> names, Fields section, String field, String name) {
         int index = names.indexOf(name);
         if (index < 0) {
-            throw new BadInput(section.where() + "." + field + " is not in the settings: " + name);
+            throw new BadInput(section.context() + "." + field + " is not in the settings: " + name);
         }
         return index;
     }
--- a/src/main/java/plumpost/config/Json.java
+++ b/src/main/java/plumpost/config/Json.java
@@ -95,12 +95,12 @@
      * The named fields of one JSON object, with type and range checks. All getters throw {@link BadInput} if a required field
      * is missing.
      *
-     * @param where names the object in messages
+     * @param context names the object in messages
      * @param map the field values by name
      * @param ignored null if a field of the wrong type is an error; otherwise a list of messages about the fields that were
      *     ignored because of their type, shared by an object and the objects nested in it
      */
-    public record Fields(String where, Map<String, Object> map, List<String> ignored) {
+    public record Fields(String context, Map<String, Object> map, List<String> ignored) {
         /** Creates strict fields: a value of the wrong type is an error. */
         public Fields(String where, Map<String, Object> map) {
             this(where, map, null);
@@ -108,7 +108,7 @@
 
         /** Returns the same fields in lenient mode: an optional field of the wrong type is treated as absent. */
         public Fields lenient() {
-            return new Fields(where, map, new ArrayList<>());
+            return new Fields(context, map, new ArrayList<>());
         }
 
         private <T> T typed(String name, Class<T> type, String kind) {
@@ -117,7 +117,7 @@
                 return type.cast(value);
             }
             if (ignored == null) {
-                throw new BadInput(where + ": field " + name + " is not " + kind);
+                throw new BadInput(context + ": field " + name + " is not " + kind);
             }
             ignore(name, value, kind);
             return null;
@@ -126,14 +126,14 @@
         /** Records that a field's value is ignored; in strict mode throws {@link BadInput} instead. */
         void ignore(String name, Object value, String kind) {
             if (ignored == null) {
-                throw new BadInput(where + ": field " + name + " is " + value + ", not " + kind);
+                throw new BadInput(context + ": field " + name + " is " + value + ", not " + kind);
             }
-            ignored.add(where + ": field " + name + " is " + value + ", not " + kind + ", and is passed over");
+            ignored.add(context + ": field " + name + " is " + value + ", not " + kind + ", and is passed over");
         }
 
         private <T> T required(String name, T value) {
             if (value == null) {
-                throw new BadInput(where + ": field " + name + " is missing");
+                throw new BadInput(context + ": field " + name + " is missing");
             }
             return value;
         }
@@ -161,7 +161,7 @@
         }
 
         /** Returns a required number, truncated to an int. */
-        public int whole(String name) {
+        public int integer(String name) {
             return (int) number(name);
         }
 
@@ -169,7 +169,7 @@
         public double numberInRange(String name, double fallback, double min, double max) {
             double value = number(name, fallback);
             if (!(value >= min && value <= max)) {
-                throw new BadInput(where + ": field " + name + " is " + typed(name, Number.class, "a number")
+                throw new BadInput(context + ": field " + name + " is " + typed(name, Number.class, "a number")
                         + ", not from " + plainNumber(min) + " to " + plainNumber(max));
             }
             return value;
@@ -180,10 +180,10 @@
         }
 
         /** Returns an optional integer, or the fallback; throws {@link BadInput} if it is fractional or out of range. */
-        public long whole(String name, long fallback, long min, long max) {
+        public long integer(String name, long fallback, long min, long max) {
             double value = numberInRange(name, fallback, min, max);
             if (value != Math.rint(value)) {
-                throw new BadInput(where + ": field " + name + " is " + value + ", not a whole number");
+                throw new BadInput(context + ": field " + name + " is " + value + ", not a whole number");
             }
             return (long) value;
         }
@@ -192,13 +192,13 @@
         public void allowOnly(String... names) {
             for (String name : map.keySet()) {
                 if (!List.of(names).contains(name)) {
-                    throw new BadInput(where + ": field " + name + " is not a setting");
+                    throw new BadInput(context + ": field " + name + " is not a setting");
                 }
             }
         }
 
         /** Returns a required number, truncated to a long. */
-        public long longWhole(String name) {
+        public long longInteger(String name) {
             return required(name, typed(name, Number.class, "a number")).longValue();
         }
 
@@ -215,13 +215,13 @@
 
         /** Returns a required object. */
         public Fields object(String name) {
-            return fields(where + "." + name, required(name, map.get(name)), ignored);
+            return fields(context + "." + name, required(name, map.get(name)), ignored);
         }
 
         /** Returns an optional object, or one without fields. */
         public Fields objectOrEmpty(String name) {
             return typed(name, Map.class, "an object") == null
-                    ? new Fields(where + "." + name, Map.of(), ignored)
+                    ? new Fields(context + "." + name, Map.of(), ignored)
                     : object(name);
         }
 
@@ -229,7 +229,7 @@
         public List<Fields> objects(String name) {
             List<Fields> objects = new ArrayList<>();
             for (Object item : list(name)) {
-                objects.add(fields(where + "." + name + "[" + objects.size() + "]", item, ignored));
+                objects.add(fields(context + "." + name + "[" + objects.size() + "]", item, ignored));
             }
             return objects;
         }
@@ -255,7 +255,7 @@
         }
 
         /** Returns an optional enum constant by name, ignoring case; in lenient mode an unknown name gives the fallback. */
-        public <E extends Enum<E>> E oneOf(String name, Class<E> type, E fallback) {
+        public <E extends Enum<E>> E enumValue(String name, Class<E> type, E fallback) {
             String text = text(name, null);
             for (E constant : type.getEnumConstants()) {
                 if (constant.name().equalsIgnoreCase(text)) {
@@ -263,7 +263,7 @@
                 }
             }
             if (text != null && ignored == null) {
-                return oneOf(name, type);
+                return enumValue(name, type);
             }
             if (text != null) {
                 ignore(name, text, "a word that is known");
@@ -272,12 +272,12 @@
         }
 
         /** Returns a required enum constant by name, ignoring case. */
-        public <E extends Enum<E>> E oneOf(String name, Class<E> type) {
+        public <E extends Enum<E>> E enumValue(String name, Class<E> type) {
             String text = text(name);
             try {
                 return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
-                throw new BadInput(where + ": field " + name + " has the unknown value " + text);
+                throw new BadInput(context + ": field " + name + " has the unknown value " + text);
             }
         }
     }
--- a/src/main/java/plumpost/config/ObjectStream.java
+++ b/src/main/java/plumpost/config/JsonObjectStream.java
@@ -18,7 +18,7 @@
  * Incremental parser for a stream of JSON objects, which may be split into chunks and lines at any point. An object is
  * delivered once its closing brace has arrived; an object that is incomplete at the end of the stream is never delivered.
  */
-public final class ObjectStream {
+public final class JsonObjectStream {
     private final String context;
     private final int maxBytes;
     private final JsonParser parser;
@@ -28,7 +28,7 @@
     private long consumedBytes;
 
     /** Creates a parser; {@code context} names the objects in messages, and no object may be longer than {@code maxBytes}. */
-    public ObjectStream(String context, int maxBytes) {
+    public JsonObjectStream(String context, int maxBytes) {
         this.context = context;
         this.maxBytes = maxBytes;
         try {
@@ -67,7 +67,7 @@
     }
 
     /** Whether an object has begun and is not complete yet. */
-    public boolean midway() {
+    public boolean isIncomplete() {
         return !openValues.isEmpty();
     }
 
--- a/src/main/java/plumpost/config/LoadReports.java
+++ b/src/main/java/plumpost/config/LoadReports.java
@@ -31,11 +31,11 @@
         if (text.startsWith("{")) {
             return read(Json.object("load report", bytes), freeSlots);
         }
-        return text.isEmpty() ? null : read(new Fields("load report", pairs(text)), freeSlots);
+        return text.isEmpty() ? null : read(new Fields("load report", parsePairs(text)), freeSlots);
     }
 
     /** Parses numbers in the form {@code name=value,name=value}; throws {@link BadInput} if a value is not a number. */
-    public static Map<String, Object> pairs(String text) {
+    public static Map<String, Object> parsePairs(String text) {
         Map<String, Object> numbers = new LinkedHashMap<>();
         for (String pair : text.split("[,\\s]+")) {
             int separator = pair.indexOf('=');
--- a/src/main/java/plumpost/config/NodeConfig.java
+++ b/src/main/java/plumpost/config/NodeConfig.java
@@ -22,8 +22,8 @@
  * @param seed seed for random numbers
  * @param sockets maximum number of descriptors that the process may use
  * @param settings the dispatcher's settings
- * @param raw the section {@code settings} as read
- * @param known the last known list of route nodes
+ * @param rawSettings the section {@code settings} as read
+ * @param lastNodeList the last known list of route nodes
  * @param gearman the Gearman front's settings, or null if it is off
  * @param logFormat text or json, or null if the file does not set it
  * @param ops the address for operators' calls, or null
@@ -36,8 +36,8 @@
         long seed,
         int sockets,
         Dispatcher.Settings settings,
-        Fields raw,
-        Fields known,
+        Fields rawSettings,
+        Fields lastNodeList,
         GearmanConfig gearman,
         String logFormat,
         InetSocketAddress ops,
@@ -68,7 +68,7 @@
     static final String FLEET_SECTION = "plumpost_fleet";
 
     private static final SettingsReader.HostTiming REAL_HOST =
-            new SettingsReader.HostTiming(LINK_GRANULARITY_MS, HoldUp.MS, HoldUp.LEAST_LEFT_MS);
+            new SettingsReader.HostTiming(LINK_GRANULARITY_MS, HoldUp.MAX_HOLD_UP_MS, HoldUp.LEAST_LEFT_MS);
 
     /** Reads a reloaded file: it is newer than the environment, so its discovery address overrides NODE_DISCOVERY. */
     public static NodeConfig reread(Fields file, Map<String, String> environment) {
@@ -154,7 +154,7 @@
 
     /** Returns a section that only this program defines, in strict mode: a wrong type there is an error. */
     private static Fields ownSection(Fields file, String name) {
-        return Json.fields(file.where() + "." + name, file.map().get(name));
+        return Json.fields(file.context() + "." + name, file.map().get(name));
     }
 
     /**
@@ -174,7 +174,7 @@
         section.allowOnly("format");
         String format = section.text("format", "text");
         if (!format.equals("text") && !format.equals("json")) {
-            throw new BadInput(section.where() + ": field format is " + format + ", not text or json");
+            throw new BadInput(section.context() + ": field format is " + format + ", not text or json");
         }
         return format;
     }
@@ -189,7 +189,7 @@
         String text = environment.getOrDefault(variable, file.text(field, null));
         return text == null || text.isEmpty()
                 ? null
-                : NodeListReader.address(
+                : NodeListReader.parseAddress(
                         environment.containsKey(variable) ? variable : "configuration: " + field, text);
     }
 
--- a/src/main/java/plumpost/config/NodeListReader.java
+++ b/src/main/java/plumpost/config/NodeListReader.java
@@ -28,14 +28,14 @@
         StartTimes AS_GIVEN = (host, bornMs) -> bornMs;
 
         /** Returns a worker's start by the loop's clock; {@code bornMs} is greater than 0. */
-        double moment(String host, double bornMs);
+        double toLoopTime(String host, double bornMs);
     }
 
     /** One entry of a node list: a route node and the address at which this scheduler reaches it. */
-    public record Line(WorkerEntry entry, InetSocketAddress dial) {}
+    public record NodeLine(WorkerEntry entry, InetSocketAddress address) {}
 
     /** A complete node list or the changes to it, with its version. */
-    public record Listing(long seq, boolean whole, List<Line> lines) {}
+    public record NodeListUpdate(long version, boolean complete, List<NodeLine> lines) {}
 
     /** Creates a reader with the names of plants and models from the settings; malformed lines are reported and skipped. */
     public NodeListReader(Fields settings, StartTimes startTimes, Consumer<String> malformed) {
@@ -46,8 +46,8 @@
     }
 
     /** Reads a list; throws {@link BadInput} if it is not a node list. */
-    public Listing read(Fields list) {
-        List<Line> lines = new ArrayList<>();
+    public NodeListUpdate read(Fields list) {
+        List<NodeLine> lines = new ArrayList<>();
         for (Object item : list.listOrEmpty("hosts")) {
             try {
                 lines.add(readLine(Json.fields("hosts", item)));
@@ -55,10 +55,10 @@
                 malformed.accept(e.getMessage());
             }
         }
-        return new Listing(list.longWhole("seq"), list.flag("whole", false), lines);
+        return new NodeListUpdate(list.longInteger("seq"), list.flag("whole", false), lines);
     }
 
-    private Line readLine(Fields fields) {
+    private NodeLine readLine(Fields fields) {
         Phase phase =
                 switch (fields.text("health")) {
                     case "up" -> Phase.SERVING;
@@ -77,7 +77,7 @@
         if (dial == null && phase == Phase.SERVING) {
             throw new BadInput("hosts: " + entry.id() + " has no dial address");
         }
-        return new Line(entry, dial == null ? null : address("dial", dial));
+        return new NodeLine(entry, dial == null ? null : parseAddress("dial", dial));
     }
 
     /** Returns when the worker started, 0 for long ago. An invalid time is reported and read as 0. */
@@ -87,7 +87,7 @@
             malformed.accept("hosts: field born_ms of " + fields.text("host") + " is " + bornMs + ", no Unix time");
             return 0;
         }
-        return bornMs == 0 ? 0 : startTimes.moment(fields.text("host"), bornMs);
+        return bornMs == 0 ? 0 : startTimes.toLoopTime(fields.text("host"), bornMs);
     }
 
     private static int indexOrZero(List<?> names, Fields fields, String field) {
@@ -96,7 +96,7 @@
     }
 
     /** Parses a numeric IP address and port; host names are not resolved. Throws {@link BadInput} for anything else. */
-    public static InetSocketAddress address(String source, String text) {
+    public static InetSocketAddress parseAddress(String source, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0
                 ? ""
--- a/src/main/java/plumpost/config/PeersConfig.java
+++ b/src/main/java/plumpost/config/PeersConfig.java
@@ -17,11 +17,11 @@
  * @param data the data directory, which one process uses exclusively
  * @param self the member that is this scheduler
  * @param members all schedulers of the fleet, including this one
- * @param beatMs interval between heartbeats to the log's leader
- * @param lostMs time without a heartbeat after which a session is declared lost; an owner stops on its own after two thirds of it
+ * @param heartbeatMs interval between heartbeats to the log's leader
+ * @param sessionTimeoutMs time without a heartbeat after which a session is declared lost; an owner stops on its own after two thirds of it
  * @param discoveryAgeMs maximum age of the owner's discovery data before each scheduler asks discovery itself
  * @param snapshotEvery number of log entries between snapshots
- * @param asks whether this scheduler can ask discovery
+ * @param queriesDiscovery whether this scheduler can ask discovery
  * @param covered which running jobs the fleet's ledger covers
  */
 public record PeersConfig(
@@ -29,11 +29,11 @@
         Path data,
         Member self,
         List<Member> members,
-        double beatMs,
-        double lostMs,
+        double heartbeatMs,
+        double sessionTimeoutMs,
         double discoveryAgeMs,
         long snapshotEvery,
-        boolean asks,
+        boolean queriesDiscovery,
         Covered covered) {
 
     /**
@@ -76,38 +76,38 @@
         List<Member> members = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Object item : section.list("members")) {
-            Fields member = Json.fields(section.where() + ".members[" + members.size() + "]", item);
+            Fields member = Json.fields(section.context() + ".members[" + members.size() + "]", item);
             member.allowOnly("name", "address", "site", "vote");
             String memberName = member.text("name");
             if (!memberName.matches("[A-Za-z0-9_-]{1,64}")) {
                 throw new BadInput(
-                        member.where() + ": field name is " + memberName + ", not 1 to 64 letters, digits, - and _");
+                        member.context() + ": field name is " + memberName + ", not 1 to 64 letters, digits, - and _");
             }
             if (!names.add(memberName)) {
-                throw new BadInput(member.where() + ": field name is " + memberName + ", which another member bears");
+                throw new BadInput(member.context() + ": field name is " + memberName + ", which another member bears");
             }
             members.add(new Member(
                     memberName,
-                    NodeListReader.address(member.where() + ".address", member.text("address")),
+                    NodeListReader.parseAddress(member.context() + ".address", member.text("address")),
                     member.text("site", ""),
                     member.flag("vote", false)));
         }
         if (members.size() > MAX_MEMBERS) {
             throw new BadInput(
-                    section.where() + ": field members has " + members.size() + " members, at most " + MAX_MEMBERS);
+                    section.context() + ": field members has " + members.size() + " members, at most " + MAX_MEMBERS);
         }
         long voterCount = members.stream().filter(Member::vote).count();
         if (voterCount != 1 && voterCount != 3 && voterCount != 5) {
-            throw new BadInput(section.where() + ": field members gives " + voterCount + " a vote, not 1, 3 or 5");
+            throw new BadInput(section.context() + ": field members gives " + voterCount + " a vote, not 1, 3 or 5");
         }
         Member self = members.stream()
                 .filter(member -> member.name().equals(name))
                 .findFirst()
-                .orElseThrow(
-                        () -> new BadInput(section.where() + ": field members does not name this scheduler, " + name));
+                .orElseThrow(() ->
+                        new BadInput(section.context() + ": field members does not name this scheduler, " + name));
         String data = dataOverride == null ? section.text("data") : dataOverride;
         if (data.isEmpty()) {
-            throw new BadInput(section.where() + ": field data is empty");
+            throw new BadInput(section.context() + ": field data is empty");
         }
         double sessionTimeoutMs = section.numberInRange("lostMs", 1500, 200, 600_000);
         return new PeersConfig(
@@ -118,7 +118,7 @@
                 section.numberInRange("beatMs", 250, 10, sessionTimeoutMs / 3),
                 sessionTimeoutMs,
                 section.numberInRange("discoveryAgeMs", 5000, 100, 600_000),
-                section.whole("snapshotEvery", 10_000, 10, 10_000_000),
+                section.integer("snapshotEvery", 10_000, 10, 10_000_000),
                 asks,
                 covered(section));
     }
@@ -129,7 +129,7 @@
             for (Object item : section.list("covers")) {
                 if (!(item instanceof String name) || !classes.add(name)) {
                     throw new BadInput(
-                            section.where() + ": field covers holds " + item + ", not names of classes, each once");
+                            section.context() + ": field covers holds " + item + ", not names of classes, each once");
                 }
             }
         }
@@ -140,7 +140,7 @@
     }
 
     /** Reads the section of a configuration for a command to the fleet; throws {@link BadInput} if there is none. */
-    public static PeersConfig of(NodeConfig config) {
+    public static PeersConfig fromNodeConfig(NodeConfig config) {
         if (config.peers() == null) {
             throw new BadInput("configuration: field peers is missing: " + config.name() + " is in no fleet");
         }
--- a/src/main/java/plumpost/config/SettingsReader.java
+++ b/src/main/java/plumpost/config/SettingsReader.java
@@ -42,9 +42,9 @@
                     jobClass.number("sloMs"),
                     jobClass.number("aimStretch", numberAt(info, "classStretch", classIndex, 0)),
                     jobClass.number("deadlineMs"),
-                    jobClass.oneOf("effect", Dispatcher.Effect.class),
+                    jobClass.enumValue("effect", Dispatcher.Effect.class),
                     // An unknown scope is read as the narrowest, within which a repeat is harmless whatever was meant.
-                    jobClass.oneOf(
+                    jobClass.enumValue(
                             "keyScope",
                             Dispatcher.Scope.class,
                             jobClass.has("keyScope") ? Dispatcher.Scope.CELL : Dispatcher.Scope.ALL),
--- a/src/main/java/plumpost/control/ControlOperations.java
+++ b/src/main/java/plumpost/control/ControlOperations.java
@@ -39,18 +39,18 @@
      * fleet has agreed. The change is acknowledged only after the agreement.
      */
     @Override
-    public void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
+    public void changeBan(String worker, boolean offline, BiConsumer<Bans.BanResult, String> onResult) {
         if (fleet == null) {
-            Bans.Said result = changeBan(worker, offline);
-            boolean unsaved = result != Bans.Said.UNKNOWN && sharedBans != null && !sharedBans.isSaved();
+            Bans.BanResult result = changeBan(worker, offline);
+            boolean unsaved = result != Bans.BanResult.UNKNOWN && sharedBans != null && !sharedBans.isSaved();
             String reason = "worker " + worker + (offline ? " is out" : " is back") + " in this process only: "
                     + "the next one cannot be told, the shared folder takes no file";
             onResult.accept(unsaved ? null : result, unsaved ? reason : "");
             return;
         }
-        Bans.Said localResult =
-                core.known(worker) ? offline ? core.offline(worker) : Bans.Said.CHANGED : Bans.Said.UNKNOWN;
-        if (localResult == Bans.Said.UNKNOWN) {
+        Bans.BanResult localResult =
+                core.known(worker) ? offline ? core.offline(worker) : Bans.BanResult.CHANGED : Bans.BanResult.UNKNOWN;
+        if (localResult == Bans.BanResult.UNKNOWN) {
             onResult.accept(localResult, "");
         } else {
             fleet.ban(
@@ -58,7 +58,7 @@
                     offline,
                     result -> onResult.accept(
                             result.agreed() ? localResult : null,
-                            "worker " + worker + (offline ? " is out here only: " : " stays out: ") + result.words()));
+                            "worker " + worker + (offline ? " is out here only: " : " stays out: ") + result.detail()));
         }
     }
 
@@ -70,29 +70,29 @@
     @Override
     public String statsdLines() {
         Map<String, Long> gauges = new LinkedHashMap<>();
-        gauges.put("outstanding", (long) core.open());
+        gauges.put("outstanding", (long) core.openJobCount());
         gauges.put("discovered", (long) core.listedNodes());
-        gauges.put("ejected", (long) core.avoided());
+        gauges.put("ejected", (long) core.avoidedNodeCount());
         return Statsd.lines(METRIC_PREFIX, counters, core.classNames(), gauges);
     }
 
     @Override
-    public Bans.Said takeOffline(String worker) {
+    public Bans.BanResult takeOffline(String worker) {
         return changeBan(worker, true);
     }
 
     @Override
-    public Bans.Said bringOnline(String worker) {
+    public Bans.BanResult bringOnline(String worker) {
         return changeBan(worker, false);
     }
 
     /** Applies the other process's latest changes before this one, so that this one prevails. */
-    private Bans.Said changeBan(String worker, boolean offline) {
+    private Bans.BanResult changeBan(String worker, boolean offline) {
         if (sharedBans != null) {
             sharedBans.refresh();
         }
-        Bans.Said result = offline ? core.offline(worker) : core.online(worker);
-        if (result == Bans.Said.CHANGED && sharedBans != null) {
+        Bans.BanResult result = offline ? core.offline(worker) : core.online(worker);
+        if (result == Bans.BanResult.CHANGED && sharedBans != null) {
             sharedBans.record(worker, offline);
         }
         return result;
--- a/src/main/java/plumpost/control/ControlServer.java
+++ b/src/main/java/plumpost/control/ControlServer.java
@@ -10,8 +10,8 @@
 import plumpost.dispatch.Bans;
 import plumpost.front.Front;
 import plumpost.front.Listeners;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -48,16 +48,16 @@
         String statsdLines();
 
         /** Bans a worker: it gets no new jobs. */
-        Bans.Said takeOffline(String worker);
+        Bans.BanResult takeOffline(String worker);
 
         /** Lifts a worker's ban. */
-        Bans.Said bringOnline(String worker);
+        Bans.BanResult bringOnline(String worker);
 
         /**
          * Bans a worker or lifts its ban, and reports the result immediately or within a second. The result is null, with a
          * reason, if the change does not hold in every process that it should reach.
          */
-        default void changeBan(String worker, boolean offline, BiConsumer<Bans.Said, String> onResult) {
+        default void changeBan(String worker, boolean offline, BiConsumer<Bans.BanResult, String> onResult) {
             onResult.accept(offline ? takeOffline(worker) : bringOnline(worker), "");
         }
     }
@@ -68,7 +68,7 @@
         this.maxConnections = maxConnections;
         this.context = context;
         this.operations = operations;
-        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
+        context.wheel().schedule(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     @Override
@@ -101,7 +101,7 @@
 
     /** Always true: no call here needs to delay the end of the process. */
     @Override
-    public boolean quiet() {
+    public boolean isIdle() {
         return true;
     }
 
@@ -114,7 +114,7 @@
             context.counters().count("control.slow");
             call.cut();
         }
-        context.wheel().at(nowMs + SWEEP_INTERVAL_MS, this::sweep);
+        context.wheel().schedule(nowMs + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Reads one call from a connection and answers it. */
@@ -130,7 +130,7 @@
         }
 
         @Override
-        public void bytes(ByteBuffer input) {
+        public void received(ByteBuffer input) {
             if (finished) {
                 return; // one call per connection: anything after it is ignored
             }
@@ -138,7 +138,7 @@
                 if (reader.feed(input)) {
                     handleCall();
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 respond(e.status(), e.getMessage() + "\n", "");
             }
         }
@@ -179,7 +179,7 @@
                                             : result.name().toLowerCase(java.util.Locale.ROOT)));
                     if (result == null) {
                         respond(503, reason + "\n", "");
-                    } else if (result == Bans.Said.UNKNOWN) {
+                    } else if (result == Bans.BanResult.UNKNOWN) {
                         respond(404, "no worker " + id + " is known here\n", "");
                     } else {
                         respond(200, "worker " + id + (offline ? " is out\n" : " is in\n"), "");
@@ -203,15 +203,15 @@
             finished = true;
             openCalls.remove(this);
             context.counters().count("control.answers." + status);
-            ByteBuffer content = Answers.ascii(body);
-            connection.write(Answers.head(status, content.remaining(), true, fields), content);
+            ByteBuffer content = AnswerEncoder.ascii(body);
+            connection.write(AnswerEncoder.head(status, content.remaining(), true, fields), content);
             connection.finish();
         }
 
         void cut() {
             finished = true;
             openCalls.remove(this);
-            connection.cut();
+            connection.closeNow();
         }
 
         @Override
--- a/src/main/java/plumpost/control/SharedBans.java
+++ b/src/main/java/plumpost/control/SharedBans.java
@@ -49,11 +49,11 @@
     /** Applies the bans that an earlier process left, and starts polling the file. */
     public void start() {
         refresh();
-        context.wheel().at(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
+        context.wheel().schedule(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
     }
 
     private void poll() {
-        context.wheel().at(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
+        context.wheel().schedule(context.clock().nowMs() + POLL_INTERVAL_MS, this::poll);
         refresh();
         if (!unwritten.isEmpty()) {
             write();
@@ -79,12 +79,12 @@
         readOutage.recovered();
         if (!text.equals(lastText)) {
             lastText = text;
-            if (core.handOver(text)) {
+            if (core.adoptBans(text)) {
                 context.counters().count("bans.handed_over");
                 context.log()
                         .accept("bans handed over: " + text.replace('\n', ' ').strip());
             }
-            unwritten.forEach(core::banned); // the other process does not know these yet
+            unwritten.forEach(core::applyFleetBan); // the other process does not know these yet
         }
     }
 
--- a/src/main/java/plumpost/count/Counters.java
+++ b/src/main/java/plumpost/count/Counters.java
@@ -19,7 +19,7 @@
     }
 
     /** Returns the value of a counter, 0 if it was never counted. */
-    public long of(String name) {
+    public long get(String name) {
         long[] count = counts.get(name);
         return count == null ? 0 : count[0];
     }
--- a/src/main/java/plumpost/count/Statsd.java
+++ b/src/main/java/plumpost/count/Statsd.java
@@ -18,16 +18,16 @@
         StringBuilder text = new StringBuilder(64 * (4 * classes.size() + gauges.size() + 3));
         long forwards = 0;
         for (String className : classes) {
-            count(text, prefix, "succeeded." + className, counters.of("jobs.served." + className));
-            count(text, prefix, "declined." + className, counters.of("jobs.refused." + className));
-            count(text, prefix, "aborted." + className, counters.of("jobs.failed." + className));
-            long sent = counters.of("attempts.whole." + className);
+            count(text, prefix, "succeeded." + className, counters.get("jobs.served." + className));
+            count(text, prefix, "declined." + className, counters.get("jobs.refused." + className));
+            count(text, prefix, "aborted." + className, counters.get("jobs.failed." + className));
+            long sent = counters.get("attempts.whole." + className);
             count(text, prefix, "forwards." + className, sent);
             forwards += sent;
         }
         count(text, prefix, "forwards", forwards);
-        count(text, prefix, "sighup_applied", counters.of("config.applied"));
-        count(text, prefix, "sighup_rejected", counters.of("config.rejected"));
+        count(text, prefix, "sighup_applied", counters.get("config.applied"));
+        count(text, prefix, "sighup_rejected", counters.get("config.rejected"));
         gauges.forEach((name, value) -> line(text, prefix, name, value, "g"));
         return text.toString();
     }
--- a/src/main/java/plumpost/decision/Dispatcher.java
+++ b/src/main/java/plumpost/decision/Dispatcher.java
@@ -119,7 +119,7 @@
      * The configuration of an instance.
      *
      * @param balancers the number of dispatchers that share the workers
-     * @param leastLeftMs no attempt begins with less time than this left to the client, since it might begin after the
+     * @param minTimeLeftMs no attempt begins with less time than this left to the client, since it might begin after the
      *     client has left
      */
     record Settings(
@@ -141,7 +141,7 @@
             boolean worthByWork,
             double overShareWorth,
             double granularityMs,
-            double leastLeftMs) {
+            double minTimeLeftMs) {
         /** Checks the settings; throws {@link IllegalArgumentException} with the name of an illegal one. */
         public Settings {
             classes = List.copyOf(classes);
@@ -179,12 +179,12 @@
     }
 
     /**
-     * An entry of the worker list. A worker with known {@code places} runs that many jobs at once and takes them from this
+     * An entry of the worker list. A worker with {@code knownSlots} runs that many jobs at once and takes them from this
      * dispatcher alone: its free slots are known without a probe, and its report that a job failed ends the job.
      *
      * @param cameUpMs when the worker process last started, or 0 for long ago
-     * @param runs the kinds of work that it runs, or null if it runs the work of every class and nothing else
-     * @param places the number of jobs that it runs at once, or 0 if that is not known
+     * @param workKinds the kinds of work that it runs, or null if it runs the work of every class and nothing else
+     * @param knownSlots the number of jobs that it runs at once, or 0 if that is not known
      */
     record WorkerEntry(
             String id,
@@ -194,16 +194,16 @@
             Phase phase,
             double units,
             double cameUpMs,
-            BitSet runs,
-            int places) {
+            BitSet workKinds,
+            int knownSlots) {
         /** Creates an entry for a worker that runs jobs of every class and whose number of slots is not known. */
         public WorkerEntry(String id, int zone, int kind, int cell, Phase phase, double units, double cameUpMs) {
             this(id, zone, kind, cell, phase, units, cameUpMs, null, 0);
         }
 
         /** Whether the worker runs a kind of work, in a deployment with the given number of classes. */
-        public boolean does(int work, int classes) {
-            return runs == null ? work < classes : runs.get(work);
+        public boolean runsWork(int work, int classes) {
+            return workKinds == null ? work < classes : workKinds.get(work);
         }
     }
 
@@ -262,43 +262,43 @@
             LoadReport report) {}
 
     /** Handles a change or a complete list of the workers, or a failed list call. */
-    void workers(double now, ListMode mode, List<WorkerEntry> entries);
+    void onWorkerList(double now, ListMode mode, List<WorkerEntry> entries);
 
     /** Handles a new job; it gets one final answer. */
-    void arrived(double now, Job job);
+    void onJobArrived(double now, Job job);
 
     /** Records that a worker has started to run an attempt's job. */
-    void started(double now, String job, int attempt, String worker);
+    void onAttemptStarted(double now, String job, int attempt, String worker);
 
     /** Records which share, 0 to 1, of an attempt's job is done. */
-    void progressed(double now, String job, int attempt, String worker, double share);
+    void onAttemptProgress(double now, String job, int attempt, String worker, double share);
 
     /** Records that an attempt's answer is being streamed to the client, which makes this attempt the answer. */
-    void streaming(double now, String job, int attempt, String worker);
+    void onAnswerStreaming(double now, String job, int attempt, String worker);
 
     /** Handles the end of an attempt. */
-    void ended(double now, Outcome outcome);
+    void onAttemptEnded(double now, Outcome outcome);
 
     /** Drops a job whose client is gone; the job needs no answer any more. */
-    void clientGone(double now, String job);
+    void onClientGone(double now, String job);
 
-    /** Handles a timer that {@link Actions#timer} requested. */
-    void timer(double now, long token);
+    /** Handles a timer that {@link Actions#requestTimer} requested. */
+    void onTimer(double now, long token);
 
     /** Handles the result of a probe; {@code report} may be null. */
-    void probed(double now, String worker, Ending ending, double waitMs, LoadReport report);
+    void onProbeResult(double now, String worker, Ending ending, double waitMs, LoadReport report);
 
     /** Receives a message from another dispatcher. It is ignored, since dispatchers share no state. */
-    void peerMessage(double now, int from, byte[] bytes);
+    void onPeerMessage(double now, int from, byte[] bytes);
 
     /**
      * Applies new settings. Classes of the old settings keep their numbers and new ones are added after them; open jobs
      * keep the class that they arrived with.
      */
-    default void retune(double now, Settings next) {}
+    default void applySettings(double now, Settings next) {}
 
     /** The number of serving workers that get no jobs for now, for example because of failures; used for the counters. */
-    default int avoided(double now) {
+    default int ejectedWorkers(double now) {
         return 0;
     }
 
@@ -319,11 +319,11 @@
         /** Probes a worker for whether it responds and, where supported, for its load report. */
         void probe(String worker);
 
-        /** Requests a call of {@link Dispatcher#timer} at or after a time. */
-        void timer(double atMs, long token);
+        /** Requests a call of {@link Dispatcher#onTimer} at or after a time. */
+        void requestTimer(double atMs, long token);
 
         /** Requests the worker list and its changes. */
-        void subscribe();
+        void requestWorkerList();
 
         /** Writes a log line for the operator. */
         void log(String message);
--- a/src/main/java/plumpost/decision/Logic.java
+++ b/src/main/java/plumpost/decision/Logic.java
@@ -240,7 +240,7 @@
     private record Task(double dueAt, long sequence, Runnable action, Request request) {}
 
     @Override
-    public void workers(double eventTime, ListMode mode, List<WorkerEntry> entries) {
+    public void onWorkerList(double eventTime, ListMode mode, List<WorkerEntry> entries) {
         now = eventTime;
         if (mode == ListMode.FAILED) {
             // If all dispatchers call at once, calls queue up: delays are random, and longer after a slow call.
@@ -297,7 +297,7 @@
 
     private void requestList() {
         listRequestedAt = now;
-        actions.subscribe();
+        actions.requestWorkerList();
     }
 
     private void updateWorker(WorkerEntry entry) {
@@ -307,10 +307,10 @@
         worker.zone = Math.min(Math.max(entry.zone(), 0), startDelayMs.length - 1);
         worker.kind = Math.min(Math.max(entry.kind(), 0), workerKinds.length - 1);
         worker.cell = entry.cell();
-        hasDedicatedWorkers |= entry.places() > 0;
+        hasDedicatedWorkers |= entry.knownSlots() > 0;
         if (worker.workKinds != null) markBusy(worker);
-        worker.workKinds = entry.runs();
-        worker.knownSlots = entry.places();
+        worker.workKinds = entry.workKinds();
+        worker.knownSlots = entry.knownSlots();
         markFree(worker);
         if (entry.cameUpMs() > worker.processStartedAt) {
             worker.processStartedAt = entry.cameUpMs();
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void arrived(double eventTime, Job job) {
+    public void onJobArrived(double eventTime, Job job) {
         now = eventTime;
         JobClass jobClass = settings.classes().get(job.classIndex());
         double costMs = Double.isNaN(job.costMs()) ? medianCostHint() : Math.max(1, job.costMs());
@@ -346,7 +346,7 @@
         request.sequence = nextSequence++;
         requests.put(job.id(), request);
         schedule(
-                request.deadline - settings.leastLeftMs(),
+                request.deadline - settings.minTimeLeftMs(),
                 () -> {
                     if (request.openAttempts == 0) finish(request);
                 },
@@ -375,7 +375,7 @@
     }
 
     @Override
-    public void started(double eventTime, String jobId, int attemptNumber, String workerId) {
+    public void onAttemptStarted(double eventTime, String jobId, int attemptNumber, String workerId) {
         now = eventTime;
         Request request = requests.get(jobId);
         Attempt attempt = request == null || attemptNumber >= request.attempts.size()
@@ -403,13 +403,13 @@
     }
 
     @Override
-    public void progressed(double eventTime, String jobId, int attemptNumber, String workerId, double share) {}
+    public void onAttemptProgress(double eventTime, String jobId, int attemptNumber, String workerId, double share) {}
 
     @Override
-    public void streaming(double eventTime, String jobId, int attemptNumber, String workerId) {}
+    public void onAnswerStreaming(double eventTime, String jobId, int attemptNumber, String workerId) {}
 
     @Override
-    public void ended(double eventTime, Outcome outcome) {
+    public void onAttemptEnded(double eventTime, Outcome outcome) {
         now = eventTime;
         Request request = requests.get(outcome.job());
         Attempt attempt = request == null || outcome.attempt() >= request.attempts.size()
@@ -439,21 +439,21 @@
     }
 
     @Override
-    public void clientGone(double eventTime, String jobId) {
+    public void onClientGone(double eventTime, String jobId) {
         now = eventTime;
         if (requests.containsKey(jobId)) forget(requests.get(jobId));
         runDueTasks();
     }
 
     @Override
-    public void timer(double eventTime, long token) {
+    public void onTimer(double eventTime, long token) {
         now = eventTime;
         while (!requestedTimers.isEmpty() && requestedTimers.peek() <= now + TIMER_SLACK_MS) requestedTimers.poll();
         runDueTasks();
     }
 
     @Override
-    public void probed(double eventTime, String workerId, Ending ending, double waitMs, LoadReport report) {
+    public void onProbeResult(double eventTime, String workerId, Ending ending, double waitMs, LoadReport report) {
         now = eventTime;
         Worker worker = workersById.get(workerId);
         if (worker != null && worker.probing) {
@@ -468,7 +468,7 @@
     }
 
     @Override
-    public void peerMessage(double eventTime, int from, byte[] bytes) {}
+    public void onPeerMessage(double eventTime, int from, byte[] bytes) {}
 
     // ---- Ordinary path: hold jobs and assign them to workers with free slots ----
 
@@ -815,13 +815,13 @@
     }
 
     @Override
-    public void retune(double eventTime, Settings next) {
+    public void applySettings(double eventTime, Settings next) {
         now = eventTime;
         settings = next;
     }
 
     @Override
-    public int avoided(double atMs) {
+    public int ejectedWorkers(double atMs) {
         return (int) sharedWorkers.stream()
                 .filter(worker -> worker.ejectedUntil > atMs)
                 .count();
@@ -887,7 +887,7 @@
                 || request.attempts.size() >= settings.limits().maxAttempts()
                 || request.openAttempts > 0 && !settings.limits().parallelTries()
                 || !mayRunOn(request, worker)
-                || now >= request.deadline - settings.leastLeftMs()
+                || now >= request.deadline - settings.minTimeLeftMs()
                 || !coldBudgetAllows(request, worker)) {
             return false;
         }
@@ -971,7 +971,7 @@
         }
         if (!tasks.isEmpty() && (requestedTimers.isEmpty() || tasks.peek().dueAt < requestedTimers.peek())) {
             requestedTimers.add(tasks.peek().dueAt);
-            actions.timer(tasks.peek().dueAt, 0);
+            actions.requestTimer(tasks.peek().dueAt, 0);
         }
     }
 }
--- a/src/main/java/plumpost/dispatch/Attempt.java
+++ b/src/main/java/plumpost/dispatch/Attempt.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the job as it was submitted. */
-    public JobRequest sheet() {
+    public JobSpec spec() {
         return job.spec;
     }
 
@@ -51,7 +51,7 @@
      * Returns whether the attempt may still be written: false once the attempt or the job has ended, the node drains or
      * is gone, or the window is over in which a repeat is harmless. Reads the clients' connections first.
      */
-    public boolean wanted() {
+    public boolean mayStillBeSent() {
         return !core.closedAfterPoll(job)
                 && ending == null
                 && core.isServing(node)
@@ -59,7 +59,7 @@
     }
 
     /** Reports that the attempt's last byte has been written, so that it counts as sent. A link calls this once. */
-    public void whole() {
+    public void fullySent() {
         core.fullySent(this);
     }
 
--- a/src/main/java/plumpost/dispatch/Bans.java
+++ b/src/main/java/plumpost/dispatch/Bans.java
@@ -22,7 +22,7 @@
     private final Set<String> listedIds = new LinkedHashSet<>();
 
     /** Result of a call to ban a node or to lift its ban. */
-    public enum Said {
+    public enum BanResult {
         /** The node was already in the requested state. */
         SAME,
         /** This call changed the node's state. */
@@ -59,23 +59,23 @@
     }
 
     /** Bans a node; a second call for it changes nothing. */
-    public Said ban(String id) {
+    public BanResult ban(String id) {
         if (banned.contains(id)) {
-            return Said.SAME;
+            return BanResult.SAME;
         }
         if (!listedIds.contains(id)) {
-            return Said.UNKNOWN;
+            return BanResult.UNKNOWN;
         }
         banned.add(id);
-        return Said.CHANGED;
+        return BanResult.CHANGED;
     }
 
     /** Lifts the ban of a node; one call undoes any number of bans. */
-    public Said unban(String id) {
+    public BanResult unban(String id) {
         if (banned.remove(id)) {
-            return Said.CHANGED;
+            return BanResult.CHANGED;
         }
-        return listedIds.contains(id) ? Said.SAME : Said.UNKNOWN;
+        return listedIds.contains(id) ? BanResult.SAME : BanResult.UNKNOWN;
     }
 
     /** Returns the bans as text to hand over: one id per line, sorted, so that equal sets give equal texts. */
--- a/src/main/java/plumpost/dispatch/DispatchCore.java
+++ b/src/main/java/plumpost/dispatch/DispatchCore.java
@@ -92,7 +92,7 @@
     }
 
     /** Returns the number of open jobs: those without a final answer. */
-    public int open() {
+    public int openJobCount() {
         return ledger.size();
     }
 
@@ -102,22 +102,22 @@
     }
 
     /** Calls the visitor with each open job, in no particular order; it must not end any of them. */
-    public void each(Consumer<OpenJob> visitor) {
+    public void forEachOpenJob(Consumer<OpenJob> visitor) {
         ledger.view().forEach(visitor);
     }
 
     /** Returns whether the bounds allow one more open job with a body of the given size. */
-    public boolean hasRoom(long bodyBytes) {
+    public boolean hasCapacity(long bodyBytes) {
         return ledger.hasCapacity(bodyBytes);
     }
 
     /** Returns the open job with an id, or null. */
-    public OpenJob entry(String id) {
+    public OpenJob findJob(String id) {
         return ledger.find(id);
     }
 
     /** Returns the open job under a unique key, in the form that its front composes, or null. */
-    public OpenJob entryOf(String uniqueKey) {
+    public OpenJob findJobByUniqueKey(String uniqueKey) {
         return ledger.findByUniqueKey(uniqueKey);
     }
 
@@ -126,9 +126,9 @@
     }
 
     /** Bans a node for an operator: once this call returns, no new attempt is sent to it. */
-    public Bans.Said offline(String node) {
-        Bans.Said result = workers.ban(node);
-        if (result == Bans.Said.CHANGED) {
+    public Bans.BanResult offline(String node) {
+        Bans.BanResult result = workers.ban(node);
+        if (result == Bans.BanResult.CHANGED) {
             counters.count("bans.out");
             resendEntry(node);
         }
@@ -136,9 +136,9 @@
     }
 
     /** Lifts an operator's ban: the module gets the node's entry as the node list last gave it. */
-    public Bans.Said online(String node) {
-        Bans.Said result = workers.unban(node);
-        if (result == Bans.Said.CHANGED) {
+    public Bans.BanResult online(String node) {
+        Bans.BanResult result = workers.unban(node);
+        if (result == Bans.BanResult.CHANGED) {
             counters.count("bans.in");
             resendEntry(node);
         }
@@ -151,12 +151,12 @@
     }
 
     /** Records a node that a list names before it is in use, so that operators can already ban it. */
-    public void named(String node) {
+    public void rememberNode(String node) {
         workers.remember(node);
     }
 
     /** Applies the fleet's decision to ban a node or to lift its ban, whether or not it was ever listed here. */
-    public void banned(String node, boolean isBanned) {
+    public void applyFleetBan(String node, boolean isBanned) {
         workers.remember(node);
         if (isBanned) {
             offline(node);
@@ -171,7 +171,7 @@
     }
 
     /** Replaces the bans by those that another process of this scheduler wrote; returns whether any node changed. */
-    public boolean handOver(String text) {
+    public boolean adoptBans(String text) {
         List<String> changed = workers.adopt(text);
         changed.forEach(this::resendEntry);
         return !changed.isEmpty();
@@ -183,19 +183,16 @@
     }
 
     /** Returns the number of the class with a name if it accepts new jobs, else -1. */
-    public int offered(String name) {
+    public int findOfferedClass(String name) {
         return classes.findOffered(name, nowMs());
     }
 
-    /**
-     * Applies new settings from SIGHUP; open jobs keep the class definition with which they were submitted. Throws
-     * IllegalArgumentException with the cause if the settings are not acceptable, and changes nothing then.
-     */
+    /** Applies new settings; open jobs keep their class. Invalid: IllegalArgumentException, and nothing changes. */
     public void retune(Dispatcher.Settings next) {
         Dispatcher.Settings merged = classes.retune(next, nowMs());
         settings = merged;
         counters.count("config.retuned");
-        process(() -> logic.retune(nowMs(), merged));
+        process(() -> logic.applySettings(nowMs(), merged));
     }
 
     /** Returns the names of the classes in the order of their numbers. */
@@ -209,14 +206,14 @@
     }
 
     /** Returns how many listed nodes are banned by operators, plus how many the module avoids for their failures. */
-    public int avoided() {
-        return workers.countBannedListed() + logic.avoided(nowMs());
+    public int avoidedNodeCount() {
+        return workers.countBannedListed() + logic.ejectedWorkers(nowMs());
     }
 
     private void resendEntry(String node) {
         WorkerEntry entry = workers.effectiveEntry(node);
         if (entry != null) {
-            process(() -> logic.workers(nowMs(), ListMode.INCREMENTAL, List.of(entry)));
+            process(() -> logic.onWorkerList(nowMs(), ListMode.INCREMENTAL, List.of(entry)));
         }
     }
 
@@ -226,24 +223,24 @@
     }
 
     /** Applies an update of a node list. A complete list replaces only this source's nodes; a failed call none. */
-    public void listed(NodeList source, ListMode mode, Collection<ListedNode> lines) {
+    public void applyList(NodeList source, ListMode mode, Collection<ListedNode> lines) {
         counters.count("list." + mode.name().toLowerCase(Locale.ROOT));
         counters.add("list.lines", lines.size());
         List<WorkerEntry> entries = workers.applyList(source, mode, lines);
-        process(() -> logic.workers(nowMs(), mode, entries));
+        process(() -> logic.onWorkerList(nowMs(), mode, entries));
     }
 
     /**
      * Submits a job; its reply-to gets exactly one final answer. A resubmission under a unique key joins the open job
      * or gets the kept outcome. Returns the open job that will answer, or null if the answer was given immediately.
      */
-    public OpenJob take(JobRequest spec, ReplyTo replyTo) {
-        return take(spec, replyTo, null);
+    public OpenJob submit(JobSpec spec, ReplyTo replyTo) {
+        return submit(spec, replyTo, null);
     }
 
     /** Submits a job that is handed out only under a lease if {@code leaseAuthority} is not null. */
-    public OpenJob take(JobRequest spec, ReplyTo replyTo, LeaseAuthority leaseAuthority) {
-        Dispatcher.JobClass jobClass = settings.classes().get(spec.cls());
+    public OpenJob submit(JobSpec spec, ReplyTo replyTo, LeaseAuthority leaseAuthority) {
+        Dispatcher.JobClass jobClass = settings.classes().get(spec.classIndex());
         counters.count("jobs.in." + jobClass.name());
         if (spec.unique() != null) {
             OpenJob existing = ledger.findByUniqueKey(spec.unique());
@@ -285,12 +282,12 @@
         OpenJob job = new OpenJob(spec, jobClass, nowMs() + spec.patienceMs(), leaseAuthority);
         job.recipients.add(replyTo);
         ledger.add(job);
-        job.deadlineTimer = wheel.at(job.deadlineMs, () -> onDeadline(job));
-        process(() -> logic.arrived(
+        job.deadlineTimer = wheel.schedule(job.deadlineMs, () -> onDeadline(job));
+        process(() -> logic.onJobArrived(
                 nowMs(),
                 new Dispatcher.Job(
                         spec.id(),
-                        spec.cls(),
+                        spec.classIndex(),
                         spec.tenant(),
                         spec.key(),
                         job.deadlineMs - nowMs(),
@@ -308,7 +305,7 @@
      * Removes a client that has left. When none is left the job is abandoned, unless it has a unique key and may have
      * run: then its client may resubmit it and must get the outcome of that run.
      */
-    public void gone(OpenJob job, ReplyTo replyTo) {
+    public void removeClient(OpenJob job, ReplyTo replyTo) {
         if (job.answered || !job.recipients.remove(replyTo) || !job.recipients.isEmpty()) {
             return;
         }
@@ -316,13 +313,13 @@
         if (job.spec.unique() == null || !job.mayHaveRun()) {
             job.abandoned = true;
             close(job);
-            process(() -> logic.clientGone(nowMs(), job.spec.id()));
+            process(() -> logic.onClientGone(nowMs(), job.spec.id()));
             withdraw(job, Ending.CANCELLED);
         }
     }
 
     /** Cancels a job that no node has and answers its clients that it failed; false if a node has it. */
-    public boolean callOff(OpenJob job) {
+    public boolean cancelIfNotRunning(OpenJob job) {
         if (job.answered || job.running() && !job.outstandingAttempt().awaitingLease) {
             return false;
         }
@@ -332,18 +329,18 @@
     }
 
     /** Cancels all selected jobs that no node has; returns how many. */
-    public int drop(Predicate<OpenJob> selected) {
+    public int cancelMatching(Predicate<OpenJob> selected) {
         List<OpenJob> matching = ledger.view().stream().filter(selected).toList();
-        return (int) matching.stream().filter(this::callOff).count();
+        return (int) matching.stream().filter(this::cancelIfNotRunning).count();
     }
 
     /** Returns whether the outcome of a job under a unique key is kept. */
-    public boolean keeps(String uniqueKey) {
+    public boolean isOutcomeKept(String uniqueKey) {
         return keptOutcomes.find(uniqueKey) != null;
     }
 
     /** Ends a job because the scheduler stops before its deadline, while its clients can still be answered. */
-    public void cutShort(OpenJob job) {
+    public void endBeforeStop(OpenJob job) {
         if (!job.answered) {
             counters.count("jobs.cut_short");
             if (guard.mayRefuse(job)) {
@@ -351,7 +348,7 @@
             } else {
                 fail(job);
             }
-            process(() -> logic.clientGone(nowMs(), job.spec.id()));
+            process(() -> logic.onClientGone(nowMs(), job.spec.id()));
             withdraw(job, Ending.CANCELLED);
         }
     }
@@ -362,13 +359,13 @@
     }
 
     /** Runs the check at the end of the process: each job still open is reported as a violation and answered. */
-    public void auditEnd() {
+    public void finishAudit() {
         audit.finish();
     }
 
     private void failAndForget(OpenJob job) {
         fail(job);
-        process(() -> logic.clientGone(nowMs(), job.spec.id()));
+        process(() -> logic.onClientGone(nowMs(), job.spec.id()));
         withdraw(job, Ending.CANCELLED);
     }
 
@@ -380,11 +377,11 @@
     private void onDeadline(OpenJob job) {
         if (!job.answered) {
             withdraw(job, Ending.TIMEOUT);
-            wheel.at(job.deadlineMs + BACKSTOP_MS, () -> {
+            wheel.schedule(job.deadlineMs + BACKSTOP_MS, () -> {
                 if (!job.answered) {
                     guard.report(RuleGuard.Violation.UNANSWERED, job.spec.id(), "left open by the module");
                     fail(job);
-                    process(() -> logic.clientGone(nowMs(), job.spec.id()));
+                    process(() -> logic.onClientGone(nowMs(), job.spec.id()));
                 }
             });
         }
@@ -402,13 +399,13 @@
 
     /** Sends an attempt that has waited for its lease, or ends it as not sent. */
     private void onLeaseDecision(Attempt attempt, boolean granted) {
-        if (granted && attempt.wanted()) {
+        if (granted && attempt.mayStillBeSent()) {
             attempt.awaitingLease = false;
             attempt.link.send(attempt);
             return;
         }
         if (granted) {
-            attempt.job.leaseAuthority.unused(attempt);
+            attempt.job.leaseAuthority.leaseNotUsed(attempt);
         }
         ended(attempt, Ending.MOOT, null, null);
     }
@@ -419,7 +416,7 @@
 
     void started(Attempt attempt) {
         if (attempt.ending == null) {
-            process(() -> logic.started(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node));
+            process(() -> logic.onAttemptStarted(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node));
         }
     }
 
@@ -427,7 +424,8 @@
         if (attempt.ending == null) {
             attempt.job.progress = progress;
             List.copyOf(attempt.job.recipients).forEach(r -> r.progressed(progress));
-            process(() -> logic.progressed(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node, progress));
+            process(() ->
+                    logic.onAttemptProgress(nowMs(), attempt.job.spec.id(), attempt.number, attempt.node, progress));
         }
     }
 
@@ -504,7 +502,7 @@
             answer(job, "served", fullResult, r -> r.served(fullResult.duplicate()));
         }
         boolean answered = job.answered;
-        process(() -> logic.ended(
+        process(() -> logic.onAttemptEnded(
                 nowMs(),
                 new Outcome(
                         job.spec.id(),
@@ -630,13 +628,13 @@
             attempt.link.send(attempt);
         } else {
             attempt.awaitingLease = true;
-            job.leaseAuthority.ask(attempt, yes -> onLeaseDecision(attempt, yes));
+            job.leaseAuthority.requestLease(attempt, yes -> onLeaseDecision(attempt, yes));
         }
     }
 
     /** Reads the clients' connections first, as one may have closed since the last read; returns whether the job ended. */
     boolean closedAfterPoll(OpenJob job) {
-        List.copyOf(job.recipients).forEach(ReplyTo::look);
+        List.copyOf(job.recipients).forEach(ReplyTo::pollConnection);
         return job.answered;
     }
 
@@ -644,7 +642,7 @@
     private void reportNotSent(Attempt attempt) {
         OpenJob job = attempt.job;
         attempt.ending = Ending.MOOT;
-        process(() -> logic.ended(
+        process(() -> logic.onAttemptEnded(
                 nowMs(), new Outcome(job.spec.id(), attempt.number, attempt.node, Ending.MOOT, 0, job.answered, null)));
     }
 
@@ -661,7 +659,7 @@
         double sentAtMs = nowMs();
         Probe reply = (ending, report) -> {
             counters.count("probes." + ending.name().toLowerCase(Locale.ROOT));
-            process(() -> logic.probed(nowMs(), node, ending, nowMs() - sentAtMs, report));
+            process(() -> logic.onProbeResult(nowMs(), node, ending, nowMs() - sentAtMs, report));
         };
         if (worker == null) {
             reply.ended(Ending.MOOT, null);
@@ -679,7 +677,7 @@
                 DispatchCore.this.assign(jobId, job, worker);
                 Attempt attempt = job == null ? null : job.outstandingAttempt();
                 if (timeoutMs > 0 && attempt != null) {
-                    wheel.at(attempt.sentAtMs + timeoutMs, () -> {
+                    wheel.schedule(attempt.sentAtMs + timeoutMs, () -> {
                         if (attempt.ending == null) {
                             withdraw(job, Ending.TIMEOUT);
                         }
@@ -719,12 +717,12 @@
         }
 
         @Override
-        public void timer(double atMs, long token) {
-            wheel.at(atMs, () -> process(() -> logic.timer(nowMs(), token)));
+        public void requestTimer(double atMs, long token) {
+            wheel.schedule(atMs, () -> process(() -> logic.onTimer(nowMs(), token)));
         }
 
         @Override
-        public void subscribe() {
+        public void requestWorkerList() {
             pendingActions.add(workers::subscribe);
         }
 
--- a/src/main/java/plumpost/dispatch/JobAudit.java
+++ b/src/main/java/plumpost/dispatch/JobAudit.java
@@ -31,7 +31,7 @@
 
     /** Starts scanning the open jobs at intervals. */
     void start() {
-        wheel.at(clock.nowMs() + SCAN_INTERVAL_MS, () -> {
+        wheel.schedule(clock.nowMs() + SCAN_INTERVAL_MS, () -> {
             start(); // first, so that an exception in one scan does not stop the next ones
             scan();
         });
--- a/src/main/java/plumpost/dispatch/JobClassRegistry.java
+++ b/src/main/java/plumpost/dispatch/JobClassRegistry.java
@@ -87,7 +87,7 @@
                 next.worthByWork(),
                 next.overShareWorth(),
                 next.granularityMs(),
-                next.leastLeftMs());
+                next.minTimeLeftMs());
         return current;
     }
 
--- a/src/main/java/plumpost/dispatch/JobLedger.java
+++ b/src/main/java/plumpost/dispatch/JobLedger.java
@@ -59,7 +59,7 @@
     }
 
     /** Returns whether the bounds allow this job. */
-    boolean hasCapacity(JobRequest spec) {
+    boolean hasCapacity(JobSpec spec) {
         return hasCapacity(sizeBytes(spec) - ENTRY_OVERHEAD_BYTES);
     }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    private static long sizeBytes(JobRequest spec) {
+    private static long sizeBytes(JobSpec spec) {
         return ENTRY_OVERHEAD_BYTES + spec.fields().length() + spec.body().remaining();
     }
 }
--- a/src/main/java/plumpost/dispatch/JobRequest.java
+++ b/src/main/java/plumpost/dispatch/JobSpec.java
@@ -6,7 +6,7 @@
  * A job as a front submits it.
  *
  * @param id the job's id, passed to the route node unchanged
- * @param cls index of its class
+ * @param classIndex index of its class
  * @param target path and query of the client's request, or null if the protocol has none
  * @param fields header fields that are passed on to the route node, as complete lines
  * @param body the job's input; neither front nor core changes it while the job is open
@@ -20,9 +20,9 @@
  * @param unique key under which a resubmission is the same job, qualified by its front, or null
  * @param work kind of work and scheduling properties besides the class
  */
-public record JobRequest(
+public record JobSpec(
         String id,
-        int cls,
+        int classIndex,
         ByteBuffer target,
         String fields,
         ByteBuffer body,
@@ -49,7 +49,7 @@
     public record Work(int kind, String name, String unique, String reducer, int priority, double aimMs) {}
 
     /** Creates a job without header fields. */
-    public JobRequest(
+    public JobSpec(
             String id,
             int cls,
             ByteBuffer target,
@@ -67,7 +67,7 @@
     }
 
     /** Creates a job whose kind of work is its class. */
-    public JobRequest(
+    public JobSpec(
             String id,
             int cls,
             ByteBuffer target,
--- a/src/main/java/plumpost/dispatch/LeaseAuthority.java
+++ b/src/main/java/plumpost/dispatch/LeaseAuthority.java
@@ -8,10 +8,10 @@
  */
 public interface LeaseAuthority {
     /** Requests a lease to hand the job out once; calls back, immediately or later, with whether it was granted. */
-    void ask(Attempt attempt, Consumer<Boolean> onDecision);
+    void requestLease(Attempt attempt, Consumer<Boolean> onDecision);
 
     /** Reports that a granted lease is not used: no node has seen the job. */
-    void unused(Attempt attempt);
+    void leaseNotUsed(Attempt attempt);
 
     /** Reports that an attempt under a lease ended without a result; {@code neverRan} if it certainly did not run. */
     void ended(Attempt attempt, boolean neverRan);
--- a/src/main/java/plumpost/dispatch/NodeLink.java
+++ b/src/main/java/plumpost/dispatch/NodeLink.java
@@ -12,5 +12,5 @@
     void probe(Probe probe);
 
     /** Closes idle connections because the node is no longer listed. */
-    void leave();
+    void closeIdle();
 }
--- a/src/main/java/plumpost/dispatch/OpenJob.java
+++ b/src/main/java/plumpost/dispatch/OpenJob.java
@@ -9,7 +9,7 @@
 
 /** A job in the ledger, from its submission to its final answer. */
 public final class OpenJob {
-    final JobRequest spec;
+    final JobSpec spec;
     final JobClass jobClass;
     final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>(2);
@@ -36,7 +36,7 @@
     /** Authority that must grant a lease before it is handed out, or null if this scheduler decides alone. */
     final LeaseAuthority leaseAuthority;
 
-    OpenJob(JobRequest spec, JobClass jobClass, double deadlineMs, LeaseAuthority leaseAuthority) {
+    OpenJob(JobSpec spec, JobClass jobClass, double deadlineMs, LeaseAuthority leaseAuthority) {
         this.leaseAuthority = leaseAuthority;
         this.spec = spec;
         this.jobClass = jobClass;
@@ -85,7 +85,7 @@
     }
 
     /** Returns the job as it was submitted. */
-    public JobRequest sheet() {
+    public JobSpec spec() {
         return spec;
     }
 
--- a/src/main/java/plumpost/dispatch/ReplyTo.java
+++ b/src/main/java/plumpost/dispatch/ReplyTo.java
@@ -24,7 +24,7 @@
     }
 
     /** Reads the client's connection, to notice that it has closed before its job is sent to a node. */
-    default void look() {}
+    default void pollConnection() {}
 
     /** Passes on a part of the result. The final answer contains the full result all the same. */
     default void part(ByteBuffer part) {}
--- a/src/main/java/plumpost/dispatch/RuleGuard.java
+++ b/src/main/java/plumpost/dispatch/RuleGuard.java
@@ -54,7 +54,7 @@
         if (worker == null
                 || !worker.isServing()
                 || banned
-                || !worker.listing.entry().does(job.spec.work().kind(), limits.classes())) {
+                || !worker.listing.entry().runsWork(job.spec.work().kind(), limits.classes())) {
             return Violation.DRAIN;
         }
         if (job.outstandingAttempt() != null) {
--- a/src/main/java/plumpost/dispatch/WorkerRegistry.java
+++ b/src/main/java/plumpost/dispatch/WorkerRegistry.java
@@ -90,7 +90,7 @@
             node.listing = listing;
             node.source = source;
             if (previousLink != null && previousLink != listing.link()) {
-                previousLink.leave();
+                previousLink.closeIdle();
             }
             if (entry.phase() == Phase.DELETED) {
                 drop(node);
@@ -104,7 +104,7 @@
 
     private void drop(Node node) {
         nodes.remove(node.listing.entry().id());
-        node.listing.link().leave();
+        node.listing.link().closeIdle();
     }
 
     boolean isKnown(String id) {
@@ -116,11 +116,11 @@
         bans.recordListed(id);
     }
 
-    Bans.Said ban(String id) {
+    Bans.BanResult ban(String id) {
         return bans.ban(id);
     }
 
-    Bans.Said unban(String id) {
+    Bans.BanResult unban(String id) {
         return bans.unban(id);
     }
 
@@ -151,7 +151,7 @@
                         Phase.DRAINING,
                         entry.units(),
                         entry.cameUpMs(),
-                        entry.runs(),
-                        entry.places());
+                        entry.workKinds(),
+                        entry.knownSlots());
     }
 }
--- a/src/main/java/plumpost/durable/OrderLife.java
+++ b/src/main/java/plumpost/durable/OrderLife.java
@@ -3,7 +3,7 @@
 /**
  * The life cycle of one durable order as a state machine without side effects: from a state and an event it computes the
  * next state and the actions to take. If {@link Step#record} is set, the caller has to write the new state to disk before
- * it takes the action in {@link Step#afterRecord}; it may take the action in {@link Step#atOnce} without waiting.
+ * it takes the action in {@link Step#actionAfterWrite}; it may take the action in {@link Step#immediateAction} without waiting.
  */
 public final class OrderLife {
     /** State of an order. */
@@ -55,7 +55,7 @@
     }
 
     /** Action to take for an order. */
-    public enum Deed {
+    public enum Action {
         /** Hand it to the worker that the lease names. */
         HAND_OUT,
         /** Submit it to the module again. */
@@ -75,11 +75,11 @@
      *
      * @param state the next state
      * @param fence the number of its latest lease; reports of a worker are valid only with this number
-     * @param record whether the new state has to be on disk before {@code afterRecord} is taken
-     * @param atOnce action that does not wait for the disk, or null
-     * @param afterRecord action to take once the state is on disk, or null
+     * @param record whether the new state has to be on disk before {@code actionAfterWrite} is taken
+     * @param immediateAction action that does not wait for the disk, or null
+     * @param actionAfterWrite action to take once the state is on disk, or null
      */
-    public record Step(State state, long fence, boolean record, Deed atOnce, Deed afterRecord) {}
+    public record Step(State state, long fence, boolean record, Action immediateAction, Action actionAfterWrite) {}
 
     private OrderLife() {}
 
@@ -100,34 +100,34 @@
         }
         return switch (event) {
             case LEASE ->
-                state == State.TAKEN ? new Step(State.LEASED, latestFence + 1, true, null, Deed.HAND_OUT) : null;
+                state == State.TAKEN ? new Step(State.LEASED, latestFence + 1, true, null, Action.HAND_OUT) : null;
             case HANDED_BACK ->
-                state == State.LEASED ? new Step(State.TAKEN, latestFence, true, null, Deed.QUEUE) : null;
+                state == State.LEASED ? new Step(State.TAKEN, latestFence, true, null, Action.QUEUE) : null;
             case HEARTBEAT ->
                 state == State.LEASED || state == State.AWAITED
                         ? new Step(State.STARTED, latestFence, false, null, null)
                         : null;
-            case DONE -> done(state, latestFence, State.SERVED, Deed.ANSWER_SERVED);
-            case FAIL -> done(state, latestFence, State.FAILED, Deed.ANSWER_FAILED);
+            case DONE -> done(state, latestFence, State.SERVED, Action.ANSWER_SERVED);
+            case FAIL -> done(state, latestFence, State.FAILED, Action.ANSWER_FAILED);
             case STALL ->
                 state.ended() || state == State.TAKEN
                         ? null
-                        : new Step(State.UNKNOWN, latestFence, true, null, Deed.ANSWER_FAILED);
+                        : new Step(State.UNKNOWN, latestFence, true, null, Action.ANSWER_FAILED);
             case RECOVER ->
                 state.ended()
-                        ? new Step(state, latestFence, false, Deed.KEEP_ONLY, null)
+                        ? new Step(state, latestFence, false, Action.KEEP_ONLY, null)
                         : state == State.TAKEN
-                                ? new Step(state, latestFence, false, Deed.QUEUE, null)
-                                : new Step(State.AWAITED, latestFence, false, Deed.AWAIT, null);
+                                ? new Step(state, latestFence, false, Action.QUEUE, null)
+                                : new Step(State.AWAITED, latestFence, false, Action.AWAIT, null);
             case GIVE_UP ->
-                state == State.TAKEN ? new Step(State.FAILED, latestFence, true, null, Deed.ANSWER_FAILED) : null;
+                state == State.TAKEN ? new Step(State.FAILED, latestFence, true, null, Action.ANSWER_FAILED) : null;
         };
     }
 
-    private static Step done(State state, long latestFence, State next, Deed answer) {
+    private static Step done(State state, long latestFence, State next, Action answer) {
         if (state == State.UNKNOWN) {
             // Its clients were answered that it failed. The real outcome is kept for resubmissions.
-            return new Step(next, latestFence, true, null, Deed.KEEP_ONLY);
+            return new Step(next, latestFence, true, null, Action.KEEP_ONLY);
         }
         return state.ended() || state == State.TAKEN ? null : new Step(next, latestFence, true, null, answer);
     }
--- a/src/main/java/plumpost/fleet/DiscoveryRunner.java
+++ b/src/main/java/plumpost/fleet/DiscoveryRunner.java
@@ -39,7 +39,7 @@
             if (first != null && first.seq() == report.seq() && first.text().equals(report.text())) {
                 pendingReports.poll();
             } else if (!report.text().isEmpty()) {
-                host.told(report.text());
+                host.onNodeListLine(report.text());
             }
             proposeNext();
         }
@@ -50,7 +50,7 @@
         List<Entry.Word> reports = duty == null ? List.of() : member.state().discoveryReports(duty);
         if (!reports.isEmpty()) {
             lastReportMs = member.nowMs();
-            reports.forEach(report -> host.told(report.text()));
+            reports.forEach(report -> host.onNodeListLine(report.text()));
         }
     }
 
@@ -62,7 +62,7 @@
         if (whole) {
             pendingReports.clear();
         }
-        if (line.length() < FleetCodec.MOST_BYTES / 2) {
+        if (line.length() < FleetCodec.MAX_ENTRY_BYTES / 2) {
             pendingReports.add(new Entry.Word(duty, 0, seq, whole, line));
         } else {
             // Not reported: the others query discovery themselves once this owner's last report is too old.
@@ -81,9 +81,9 @@
                     outcome -> {
                         if (outcome != null
                                 && !outcome.done()
-                                && outcome.words().startsWith("the whole list")) {
+                                && outcome.detail().startsWith("the whole list")) {
                             pendingReports.clear();
-                            host.ask(true, true);
+                            host.setDiscoveryQueries(true, true);
                         }
                     });
         }
@@ -105,12 +105,12 @@
         if (shouldAsk != asking) {
             asking = shouldAsk;
             member.count(shouldAsk ? "discovery_asked" : "discovery_followed");
-            host.ask(shouldAsk, false);
+            host.setDiscoveryQueries(shouldAsk, false);
         }
         if (!owner) {
             pendingReports.clear();
         } else if (pendingReports.isEmpty()
-                && host.hears()
+                && host.discoveryAnswers()
                 && nowMs - lastReportMs > maxAgeMs / 3
                 && !member.state().discoveryReports(duty).isEmpty()) {
             // An empty report says that the list still holds.
--- a/src/main/java/plumpost/fleet/Duties.java
+++ b/src/main/java/plumpost/fleet/Duties.java
@@ -64,7 +64,7 @@
     }
 
     /** Moves a duty from its owner to another scheduler; refused if no other can own it. */
-    Outcome yield(Entry.Yield command, Sessions sessions, Collection<News> events) {
+    Outcome yield(Entry.Yield command, Sessions sessions, Collection<FleetEvent> events) {
         String refusal = fenceError(command.duty(), command.fence());
         if (refusal != null) {
             return Outcome.refused(refusal);
@@ -79,7 +79,7 @@
     }
 
     /** After a change of membership, assigns every duty that can have an owner and balances the number of duties. */
-    void reassign(Sessions sessions, Collection<News> events) {
+    void reassign(Sessions sessions, Collection<FleetEvent> events) {
         for (Duty duty : List.copyOf(byName.values())) {
             if (!hasActiveOwner(duty, sessions)) {
                 Session next = bestCandidate(duty, sessions, "");
@@ -87,15 +87,15 @@
                     assign(duty, next, events);
                 } else if (!duty.owner.isEmpty()) {
                     byName.put(duty.name, new Duty(duty.name, duty.site, "", 0, duty.fence));
-                    events.add(new News.OwnerChanged(byName.get(duty.name), duty.owner));
+                    events.add(new FleetEvent.OwnerChanged(byName.get(duty.name), duty.owner));
                 }
             }
         }
         for (Duty duty : List.copyOf(byName.values())) {
             Session next = duty.owner.isEmpty() ? null : bestCandidate(duty, sessions, duty.owner);
             if (next != null) {
-                boolean movesToSite = !atSite(duty, sessions.of(duty.owner)) && atSite(duty, next);
-                boolean leavesSite = atSite(duty, sessions.of(duty.owner)) && !atSite(duty, next);
+                boolean movesToSite = !atSite(duty, sessions.find(duty.owner)) && atSite(duty, next);
+                boolean leavesSite = atSite(duty, sessions.find(duty.owner)) && !atSite(duty, next);
                 int gap = dutyCount(duty.owner) - dutyCount(next.name());
                 if (movesToSite || !leavesSite && gap >= 2) {
                     assign(duty, next, events);
@@ -107,8 +107,8 @@
     private boolean hasActiveOwner(Duty duty, Sessions sessions) {
         return !duty.owner.isEmpty()
                 && sessions.live(duty.owner, duty.incarnation)
-                && sessions.of(duty.owner).state() != State.LEAVING
-                && sessions.of(duty.owner).offers(duty.name);
+                && sessions.find(duty.owner).state() != State.LEAVING
+                && sessions.find(duty.owner).offers(duty.name);
     }
 
     private static boolean atSite(Duty duty, Session session) {
@@ -133,10 +133,10 @@
                 .orElse(null);
     }
 
-    private void assign(Duty duty, Session to, Collection<News> events) {
+    private void assign(Duty duty, Session to, Collection<FleetEvent> events) {
         Duty next = new Duty(duty.name, duty.site, to.name(), to.incarnation(), ++lastFence);
         byName.put(duty.name, next);
-        events.add(new News.OwnerChanged(next, duty.owner));
+        events.add(new FleetEvent.OwnerChanged(next, duty.owner));
     }
 
     /** The part of a snapshot that holds the duties. */
--- a/src/main/java/plumpost/fleet/Entry.java
+++ b/src/main/java/plumpost/fleet/Entry.java
@@ -72,7 +72,7 @@
     record Word(String duty, long fence, long seq, boolean whole, String text) implements Entry {}
 
     /**
-     * Plans a job that starts at {@code startMs}, in Unix milliseconds. Its id is the handle that its client was given;
+     * Schedules a job that starts at {@code startMs}, in Unix milliseconds. Its id is the handle that its client was given;
      * {@code repeatable} says whether it may run twice. A second job with the same key stands for the first one.
      */
     record Plan(String id, String function, String unique, byte[] body, double startMs, boolean repeatable)
--- a/src/main/java/plumpost/fleet/FleetCodec.java
+++ b/src/main/java/plumpost/fleet/FleetCodec.java
@@ -31,12 +31,12 @@
      */
     public static final int FORMAT = Integer.getInteger("plumpost.lab.format", 1);
     /** Maximum size of an entry in bytes: enough for a node list of some thousand lines, or for the data of a job. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_ENTRY_BYTES = 1 << 20;
 
     private static final CBORFactory CBOR = CBORFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
                     .maxNestingDepth(16)
-                    .maxStringLength(MOST_BYTES)
+                    .maxStringLength(MAX_ENTRY_BYTES)
                     .build())
             .build();
     private static final Map<String, Class<?>> KINDS = new HashMap<>();
@@ -50,16 +50,16 @@
     private FleetCodec() {}
 
     /** The bytes read are not in a form that this program knows; the message says what was found. */
-    public static final class Unreadable extends IOException {
+    public static final class UnreadableException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String message, Throwable cause) {
+        UnreadableException(String message, Throwable cause) {
             super(message, cause);
         }
     }
 
     /** Encodes an entry in a record format from 1 to {@link #FORMAT}. */
-    public static byte[] bytes(Entry entry, int format) {
+    public static byte[] encode(Entry entry, int format) {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream(128);
         try (JsonGenerator out = CBOR.createGenerator(buffer)) {
             out.writeStartArray();
@@ -74,7 +74,7 @@
     }
 
     /** Decodes an entry. */
-    public static Entry entry(byte[] bytes) throws Unreadable {
+    public static Entry decodeEntry(byte[] bytes) throws UnreadableException {
         try (JsonParser in = CBOR.createParser(bytes)) {
             require(in.nextToken() == JsonToken.START_ARRAY, "not an entry");
             int format = in.nextIntValue(-1);
@@ -86,27 +86,27 @@
             Entry entry = (Entry) readValue(in, kind);
             require(in.nextToken() == JsonToken.END_ARRAY, "unexpected data after the entry");
             return entry;
-        } catch (Unreadable entry) {
+        } catch (UnreadableException entry) {
             throw entry;
         } catch (IOException | RuntimeException entry) {
-            throw new Unreadable("the fleet's log contains an invalid entry: " + entry.getMessage(), entry);
+            throw new UnreadableException("the fleet's log contains an invalid entry: " + entry.getMessage(), entry);
         }
     }
 
     /** Encodes an outcome. */
-    public static byte[] bytes(Outcome outcome) {
+    public static byte[] encode(Outcome outcome) {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream(64);
         writeRecord(outcome, buffer);
         return buffer.toByteArray();
     }
 
     /** Decodes an outcome. */
-    public static Outcome outcome(byte[] bytes) throws Unreadable {
+    public static Outcome decodeOutcome(byte[] bytes) throws UnreadableException {
         try (JsonParser in = CBOR.createParser(bytes)) {
             in.nextToken();
             return (Outcome) readValue(in, Outcome.class);
         } catch (IOException | RuntimeException e) {
-            throw new Unreadable("invalid outcome: " + e.getMessage(), e);
+            throw new UnreadableException("invalid outcome: " + e.getMessage(), e);
         }
     }
 
@@ -121,15 +121,15 @@
     }
 
     /** Writes a snapshot of the state: the number of the record format that the fleet has agreed on, then the content. */
-    public static void write(FleetBook state, OutputStream output) {
-        writeRecord(new StoredSnapshot(state.sessions().format(), state.image()), output);
+    public static void writeSnapshot(FleetState state, OutputStream output) {
+        writeRecord(new StoredSnapshot(state.sessions().format(), state.snapshot()), output);
     }
 
     /** A snapshot with the number of the record format that it is written in. */
-    record StoredSnapshot(int format, FleetBook.Image snapshot) {}
+    record StoredSnapshot(int format, FleetState.Snapshot snapshot) {}
 
     /** Reads a snapshot. */
-    public static FleetBook.Image snapshot(InputStream input) throws Unreadable {
+    public static FleetState.Snapshot readSnapshot(InputStream input) throws UnreadableException {
         try (JsonParser in = CBOR.createParser(input)) {
             require(in.nextToken() == JsonToken.START_ARRAY, "not a snapshot");
             int format = in.nextIntValue(-1);
@@ -137,17 +137,17 @@
                     format >= 1 && format <= FORMAT,
                     "snapshot of format " + format + ", this program reads 1 to " + FORMAT);
             in.nextToken();
-            return (FleetBook.Image) readValue(in, FleetBook.Image.class);
-        } catch (Unreadable e) {
+            return (FleetState.Snapshot) readValue(in, FleetState.Snapshot.class);
+        } catch (UnreadableException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
-            throw new Unreadable("the snapshot cannot be read: " + e.getMessage(), e);
+            throw new UnreadableException("the snapshot cannot be read: " + e.getMessage(), e);
         }
     }
 
-    private static void require(boolean condition, String message) throws Unreadable {
+    private static void require(boolean condition, String message) throws UnreadableException {
         if (!condition) {
-            throw new Unreadable(message, null);
+            throw new UnreadableException(message, null);
         }
     }
 
@@ -217,7 +217,7 @@
                     return c;
                 }
             }
-            throw new Unreadable("unknown " + kind.getSimpleName() + " " + in.getText(), null);
+            throw new UnreadableException("unknown " + kind.getSimpleName() + " " + in.getText(), null);
         }
         RecordComponent[] components = kind.getRecordComponents();
         Object[] values = new Object[components.length];
--- a/src/main/java/plumpost/fleet/FleetLog.java
+++ b/src/main/java/plumpost/fleet/FleetLog.java
@@ -5,12 +5,12 @@
 /** Port to the replicated log. All callbacks run on the scheduler's loop. */
 public interface FleetLog {
     /** Receives what is applied from the log; called on the scheduler's loop, in the order of the log. */
-    interface Ear {
+    interface Listener {
         /** An entry was applied. */
         void applied(Entry entry, long term);
 
         /** The state was replaced by a snapshot: at the start, or in place of entries that were not received. */
-        void restored(FleetBook.Image snapshot);
+        void restored(FleetState.Snapshot snapshot);
 
         /** The content of the data directory has been read. */
         void started();
@@ -31,7 +31,7 @@
      * them. The callback receives true if a leader that a majority follows has received the heartbeat and the session is
      * still running, false if the session has ended, and null if no leader has answered.
      */
-    void beat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback);
+    void sendHeartbeat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback);
 
     /** For how many milliseconds agreed entries have been waiting to be applied here; 0 if this scheduler keeps up. */
     double behindMs();
--- a/src/main/java/plumpost/fleet/FleetBook.java
+++ b/src/main/java/plumpost/fleet/FleetState.java
@@ -12,7 +12,7 @@
  * clock. Equal entries in equal order give equal states everywhere. Whether an action on behalf of the fleet is valid is
  * decided here when its entry is applied, by its fence and by the session that proposed it, never by a clock.
  */
-public final class FleetBook {
+public final class FleetState {
     /** The duty whose owner starts planned jobs. */
     public static final String SCHEDULE = "schedule";
     /** The duty whose owner gives orders up and forgets them. */
@@ -26,24 +26,24 @@
 
     private Sessions sessions = new Sessions();
     private Duties duties = new Duties();
-    private Plans plannedJobs = new Plans();
+    private PlannedJobs plannedJobs = new PlannedJobs();
     private Orders orders = new Orders();
     private final TreeSet<String> bans = new TreeSet<>();
     /** By duty, the latest whole node list and the changes reported since. */
     private final TreeMap<String, List<Entry.Word>> discoveryReports = new TreeMap<>();
 
     /** Applies an entry of a term of the log and adds what it changed to {@code events}. */
-    public Outcome apply(Entry entry, long term, Collection<News> events) {
+    public Outcome apply(Entry entry, long term, Collection<FleetEvent> events) {
         Outcome outcome = applyEntry(entry, term, events);
         if (!outcome.done()) {
-            events.add(new News.EntryRefused(entry, outcome.words()));
+            events.add(new FleetEvent.EntryRefused(entry, outcome.detail()));
         }
         return outcome;
     }
 
-    private Outcome applyEntry(Entry entry, long term, Collection<News> events) {
+    private Outcome applyEntry(Entry entry, long term, Collection<FleetEvent> events) {
         if (entry instanceof Entry.Join join) {
-            Session previous = sessions.of(join.name());
+            Session previous = sessions.find(join.name());
             Outcome outcome = sessions.join(join, events);
             if (outcome.done()) {
                 duties.addOffered(join.offers());
@@ -95,8 +95,8 @@
         }
     }
 
-    private Outcome afterMembershipChange(String name, Outcome outcome, Collection<News> events) {
-        Session session = sessions.of(name);
+    private Outcome afterMembershipChange(String name, Outcome outcome, Collection<FleetEvent> events) {
+        Session session = sessions.find(name);
         if (outcome.done() && session != null) {
             if (!session.live()) {
                 plannedJobs.sessionLost(name, session.incarnation(), events);
@@ -109,17 +109,17 @@
         return outcome;
     }
 
-    private Outcome applyBan(Entry.Ban ban, Collection<News> events) {
+    private Outcome applyBan(Entry.Ban ban, Collection<FleetEvent> events) {
         if (ban.banned() && bans.size() >= MAX_BANS && !bans.contains(ban.node())) {
             return Outcome.refused(MAX_BANS + " route nodes are out by hand already");
         }
         if (ban.banned() ? bans.add(ban.node()) : bans.remove(ban.node())) {
-            events.add(new News.BanChanged(ban.node(), ban.banned()));
+            events.add(new FleetEvent.BanChanged(ban.node(), ban.banned()));
         }
         return Outcome.DONE;
     }
 
-    private Outcome applyDiscoveryReport(Entry.Word report, Collection<News> events) {
+    private Outcome applyDiscoveryReport(Entry.Word report, Collection<FleetEvent> events) {
         String refusal = duties.fenceError(report.duty(), report.fence());
         if (refusal != null) {
             return Outcome.refused(refusal);
@@ -133,7 +133,7 @@
         if (report.whole() || !report.text().isEmpty()) {
             reports.add(report);
         }
-        events.add(new News.DiscoveryReported(report));
+        events.add(new FleetEvent.DiscoveryReported(report));
         return Outcome.DONE;
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** The planned jobs that are not over. */
-    public Plans plans() {
+    public PlannedJobs plannedJobs() {
         return plannedJobs;
     }
 
@@ -168,19 +168,19 @@
     }
 
     /** The content of a snapshot. The order and the types of the components are stored. */
-    public record Image(
+    public record Snapshot(
             Sessions.Snapshot sessions,
             Duties.Snapshot duties,
-            Plans.Snapshot plannedJobs,
+            PlannedJobs.Snapshot plannedJobs,
             List<String> bans,
             List<Entry.Word> discoveryReports,
             Orders.Snapshot orders) {}
 
     /** Returns a copy of the state for a snapshot. */
-    public Image image() {
+    public Snapshot snapshot() {
         List<Entry.Word> reports = new ArrayList<>();
         discoveryReports.values().forEach(reports::addAll);
-        return new Image(
+        return new Snapshot(
                 sessions.snapshot(),
                 duties.snapshot(),
                 plannedJobs.snapshot(),
@@ -190,10 +190,10 @@
     }
 
     /** Replaces this state by the content of a snapshot. */
-    public void restore(Image snapshot) {
+    public void restore(Snapshot snapshot) {
         sessions = Sessions.fromSnapshot(snapshot.sessions);
         duties = Duties.fromSnapshot(snapshot.duties);
-        plannedJobs = Plans.fromSnapshot(snapshot.plannedJobs);
+        plannedJobs = PlannedJobs.fromSnapshot(snapshot.plannedJobs);
         orders = Orders.fromSnapshot(snapshot.orders);
         bans.clear();
         bans.addAll(snapshot.bans);
--- a/src/main/java/plumpost/fleet/Beats.java
+++ b/src/main/java/plumpost/fleet/HeartbeatMonitor.java
@@ -16,7 +16,7 @@
  * new leader, and one that notices that its own process was suspended, starts counting anew. Does no I/O; times are
  * milliseconds of any monotonic clock.
  */
-public final class Beats {
+public final class HeartbeatMonitor {
     private record SessionKey(String name, long incarnation) {}
 
     private final double suspectMs;
@@ -37,14 +37,14 @@
      * @param lostMs silence from which a session is lost
      * @param maxCheckGapMs two checks farther apart than this mean that the leader itself was suspended in between
      */
-    public Beats(double suspectMs, double lostMs, double maxCheckGapMs) {
+    public HeartbeatMonitor(double suspectMs, double lostMs, double maxCheckGapMs) {
         this.suspectMs = suspectMs;
         this.lostMs = lostMs;
         this.maxCheckGapMs = maxCheckGapMs;
     }
 
     /** Starts counting anew: this process leads from now on. */
-    public void lead(double nowMs) {
+    public void startLeading(double nowMs) {
         lastHeard.clear();
         lagging.clear();
         firstSeen.clear();
@@ -56,7 +56,7 @@
      * Records a heartbeat of a session whose copy of the state has been lagging for {@code behindMs}. A session that lags
      * for long is marked suspect: it continues, and gets nothing new.
      */
-    public void beat(String name, long incarnation, double nowMs, double behindMs) {
+    public void recordHeartbeat(String name, long incarnation, double nowMs, double behindMs) {
         SessionKey key = new SessionKey(name, incarnation);
         lastHeard.put(key, nowMs);
         if (behindMs >= suspectMs) {
@@ -73,9 +73,9 @@
     }
 
     /** Returns the verdicts to propose now, under the leader's term. */
-    public List<Entry> look(Collection<Session> sessions, long term, double nowMs) {
+    public List<Entry> check(Collection<Session> sessions, long term, double nowMs) {
         if (Double.isNaN(leadingSinceMs) || nowMs - lastCheckMs > maxCheckGapMs) {
-            lead(nowMs);
+            startLeading(nowMs);
         }
         lastCheckMs = nowMs;
         List<Entry> proposals = new ArrayList<>();
--- a/src/main/java/plumpost/fleet/Member.java
+++ b/src/main/java/plumpost/fleet/Member.java
@@ -25,7 +25,7 @@
  * need no special handling. It acts only while it has a lease, that is, while a leader has recently received its
  * heartbeat; the log decides whether an action is valid.
  */
-public final class Member implements Fleet, FleetLog.Ear {
+public final class Member implements Fleet, FleetLog.Listener {
     private static final double TICK_MS = 50;
     /** An equal entry is not proposed again sooner than this; a request is answered as not known at 80 % of it. */
     private static final double REPROPOSE_MS = 1000;
@@ -40,7 +40,7 @@
     private final TimerWheel wheel;
     private final Counters counters;
     private final Consumer<String> logger;
-    private final FleetBook state = new FleetBook();
+    private final FleetState state = new FleetState();
     private final SessionRunner sessionRunner;
     private final ScheduleRunner schedule;
     private final DiscoveryRunner discovery;
@@ -84,23 +84,26 @@
         this.wheel = wheel;
         this.counters = counters;
         this.logger = logger;
-        List<Offer> offers = new ArrayList<>(List.of(new Offer(FleetBook.SCHEDULE, "")));
+        List<Offer> offers = new ArrayList<>(List.of(new Offer(FleetState.SCHEDULE, "")));
         if (asksDiscovery) {
             offers.add(new Offer(
-                    FleetBook.DISCOVERY + config.self().site(), config.self().site()));
+                    FleetState.DISCOVERY + config.self().site(), config.self().site()));
         }
         if (!config.covered().classes().isEmpty()) {
-            offers.add(new Offer(FleetBook.LEDGER, ""));
+            offers.add(new Offer(FleetState.LEDGER, ""));
         }
         sessionRunner = new SessionRunner(this, host, config, nonce, directoryId, offers);
         schedule = new ScheduleRunner(this, host);
         orders = config.covered().classes().isEmpty() ? null : new OrderRunner(this, host, config.covered());
         discovery = new DiscoveryRunner(
-                this, host, asksDiscovery ? FleetBook.DISCOVERY + config.self().site() : null, config.discoveryAgeMs());
+                this,
+                host,
+                asksDiscovery ? FleetState.DISCOVERY + config.self().site() : null,
+                config.discoveryAgeMs());
     }
 
     /** Sets the log that it takes part in; to be called before {@link #begin}. */
-    public void on(FleetLog newLog) {
+    public void setLog(FleetLog newLog) {
         log = newLog;
     }
 
@@ -121,7 +124,7 @@
         return unixTime.nowMs();
     }
 
-    FleetBook state() {
+    FleetState state() {
         return state;
     }
 
@@ -184,7 +187,7 @@
     }
 
     void runAfter(double delayMs, Runnable task) {
-        wheel.at(nowMs() + delayMs, task);
+        wheel.schedule(nowMs() + delayMs, task);
     }
 
     // ---- session and duties ----
@@ -208,7 +211,8 @@
         boolean hasLease = mayAct();
         if (hadLease && !hasLease && !stopping) {
             count("lease_ended");
-            logger.accept("fleet: no leader has acknowledged this scheduler for " + Math.round(config.lostMs() * 2 / 3)
+            logger.accept("fleet: no leader has acknowledged this scheduler for "
+                    + Math.round(config.sessionTimeoutMs() * 2 / 3)
                     + " ms: it does no fleet duty and serves on by itself");
         }
         if (hasLease && !hadLease) {
@@ -221,7 +225,7 @@
         if (hasLease) {
             sessionRunner.reportFunctions(nowMs);
         }
-        if (hasLease && log.behindMs() > config.lostMs() * 2 / 3) {
+        if (hasLease && log.behindMs() > config.sessionTimeoutMs() * 2 / 3) {
             yieldDuties();
         }
         poll();
@@ -262,7 +266,7 @@
 
     @Override
     public void applied(Entry entry, long term) {
-        List<News> events = new ArrayList<>();
+        List<FleetEvent> events = new ArrayList<>();
         state.apply(entry, term, events);
         events.forEach(this::onEvent);
         if (!pollScheduled) {
@@ -276,7 +280,7 @@
     }
 
     @Override
-    public void restored(FleetBook.Image snapshot) {
+    public void restored(FleetState.Snapshot snapshot) {
         Set<String> previousBans = new HashSet<>(state.bans());
         state.restore(snapshot);
         count("restored");
@@ -304,18 +308,18 @@
         }
     }
 
-    private void onEvent(News event) {
-        if (event instanceof News.JobChanged jobEvent) {
+    private void onEvent(FleetEvent event) {
+        if (event instanceof FleetEvent.JobChanged jobEvent) {
             schedule.changed(jobEvent.job());
-        } else if (event instanceof News.OrderChanged orderEvent) {
+        } else if (event instanceof FleetEvent.OrderChanged orderEvent) {
             if (orders != null) {
                 orders.changed(orderEvent.current(), orderEvent.previous());
             }
-        } else if (event instanceof News.BanChanged banEvent) {
+        } else if (event instanceof FleetEvent.BanChanged banEvent) {
             host.banned(banEvent.node(), banEvent.banned());
-        } else if (event instanceof News.DiscoveryReported discoveryEvent) {
+        } else if (event instanceof FleetEvent.DiscoveryReported discoveryEvent) {
             discovery.onReportApplied(discoveryEvent.report());
-        } else if (event instanceof News.OwnerChanged ownerEvent) {
+        } else if (event instanceof FleetEvent.OwnerChanged ownerEvent) {
             if (ownerEvent.duty().owner().equals(name())
                     || ownerEvent.previousOwner().equals(name())) {
                 count("owner_changed");
@@ -327,12 +331,12 @@
                                         + ownerEvent.duty().incarnation())
                         + (ownerEvent.previousOwner().isEmpty() ? "" : ", was " + ownerEvent.previousOwner() + "'s"));
             }
-        } else if (event instanceof News.EntryRefused refusal) {
+        } else if (event instanceof FleetEvent.EntryRefused refusal) {
             count("refused." + refusal.entry().getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
             if (refusal.reason().startsWith("fence ")) {
                 logLine("refused " + refusal.entry().getClass().getSimpleName() + ": " + refusal.reason());
             }
-        } else if (event instanceof News.SessionChanged sessionEvent
+        } else if (event instanceof FleetEvent.SessionChanged sessionEvent
                 && sessionEvent.previous() != null
                 && sessionEvent.current().state() == Sessions.State.LOST) {
             count("session_lost");
@@ -345,7 +349,7 @@
         if (halted || closed) {
             return;
         }
-        Session session = state.sessions().of(name());
+        Session session = state.sessions().find(name());
         if (incarnation() > 0
                 && session != null
                 && session.incarnation() >= incarnation()
@@ -371,48 +375,49 @@
     }
 
     /** Proposes an entry on behalf of a caller, who gets the outcome, or after a time limit that it is not known. */
-    void request(Entry entry, Consumer<Said> callback) {
+    void request(Entry entry, Consumer<Reply> callback) {
         if (halted || log == null) {
-            callback.accept(new Said(false, false, "this scheduler takes part in the fleet no longer"));
+            callback.accept(new Reply(false, false, "this scheduler takes part in the fleet no longer"));
             return;
         }
         boolean[] answered = new boolean[1];
-        wheel.at(nowMs() + REPROPOSE_MS * 0.8, () -> {
+        wheel.schedule(nowMs() + REPROPOSE_MS * 0.8, () -> {
             if (!answered[0]) {
                 answered[0] = true;
                 count("wish_unknown");
-                callback.accept(new Said(
+                callback.accept(new Reply(
                         false,
                         false,
-                        "the fleet has not agreed in time; try again after " + Math.round(config.lostMs()) + " ms"));
+                        "the fleet has not agreed in time; try again after " + Math.round(config.sessionTimeoutMs())
+                                + " ms"));
             }
         });
         log.propose(entry, outcome -> {
             if (!answered[0] && outcome != null) {
                 answered[0] = true;
-                callback.accept(new Said(outcome.done(), true, outcome.words()));
+                callback.accept(new Reply(outcome.done(), true, outcome.detail()));
             }
         });
     }
 
     @Override
-    public void ban(String node, boolean banned, Consumer<Said> callback) {
+    public void ban(String node, boolean banned, Consumer<Reply> callback) {
         request(new Entry.Ban(node, banned), callback);
     }
 
     @Override
-    public void plan(Job job, Consumer<Said> callback) {
+    public void plan(Job job, Consumer<Reply> callback) {
         request(
                 new Entry.Plan(job.id(), job.function(), job.unique(), job.body(), job.atMs(), job.repeatable()),
                 callback);
     }
 
     @Override
-    public void callOff(String id, Consumer<Said> callback) {
+    public void callOff(String id, Consumer<Reply> callback) {
         request(new Entry.CallOff(id), callback);
     }
 
-    private static Job job(Plans.Job job) {
+    private static Job job(PlannedJobs.Job job) {
         return job == null
                 ? null
                 : new Job(job.id(), job.function(), job.unique(), job.body(), job.startMs(), job.repeatable());
@@ -420,30 +425,30 @@
 
     @Override
     public Job planned(String id) {
-        return job(state.plans().find(id));
+        return job(state.plannedJobs().find(id));
     }
 
     @Override
     public List<String> plannedIds() {
-        return state.plans().all().stream()
-                .filter(job -> job.state() == Plans.State.WAITING)
-                .map(Plans.Job::id)
+        return state.plannedJobs().all().stream()
+                .filter(job -> job.state() == PlannedJobs.State.WAITING)
+                .map(PlannedJobs.Job::id)
                 .toList();
     }
 
     @Override
     public Job planned(String function, String unique) {
-        return job(state.plans().findByKey(function, unique));
+        return job(state.plannedJobs().findByKey(function, unique));
     }
 
     @Override
     public boolean fired(String id) {
-        Plans.Job job = state.plans().find(id);
-        return job != null && job.state() != Plans.State.WAITING;
+        PlannedJobs.Job job = state.plannedJobs().find(id);
+        return job != null && job.state() != PlannedJobs.State.WAITING;
     }
 
     @Override
-    public void ended(String id, boolean unstarted) {
+    public void onJobEnded(String id, boolean unstarted) {
         schedule.ended(id, unstarted);
     }
 
@@ -458,7 +463,7 @@
     }
 
     @Override
-    public void heard(String line, long seq, boolean whole) {
+    public void onDiscoveryLine(String line, long seq, boolean whole) {
         discovery.onDiscoveryLine(line, seq, whole);
     }
 
@@ -507,7 +512,7 @@
     }
 
     @Override
-    public boolean quiet() {
+    public boolean closed() {
         return closed;
     }
 }
--- a/src/main/java/plumpost/fleet/OrderRunner.java
+++ b/src/main/java/plumpost/fleet/OrderRunner.java
@@ -129,7 +129,7 @@
         if (granted) {
             grantedLeases.put(id, current.lease());
             if (callback == null) {
-                told(id, Word.HANDED_BACK, EMPTY_RESULT); // no longer requested, and unused
+                report(id, Report.HANDED_BACK, EMPTY_RESULT); // no longer requested, and unused
             }
         }
         if (callback != null) {
@@ -140,7 +140,7 @@
             holder.drop(id);
         }
         if (ended && holder != null && (previous == null || !previous.state().ended())) {
-            holder.ended(known(current, known));
+            holder.ended(status(current, known));
         }
     }
 
@@ -207,7 +207,7 @@
     }
 
     private void pollOnce() {
-        if (member.fence(FleetBook.LEDGER) > 0) {
+        if (member.fence(FleetState.LEDGER) > 0) {
             settleDue();
         }
         SessionId self = new SessionId(member.name(), member.incarnation());
@@ -297,7 +297,7 @@
                     order.patienceMs(),
                     order.repeatable(),
                     order.background()))) {
-                told(id, Word.RELEASED, EMPTY_RESULT);
+                report(id, Report.RELEASED, EMPTY_RESULT);
             }
         }
     }
@@ -307,7 +307,7 @@
      * workers for a function take turns, so that each claims its share.
      */
     private void claimFree(SessionId self) {
-        int capacity = Math.min(MAX_CLAIMED, holder.room());
+        int capacity = Math.min(MAX_CLAIMED, holder.capacity());
         if (capacity <= 0 || freeByPriority.values().stream().allMatch(Set::isEmpty)) {
             return;
         }
@@ -351,7 +351,7 @@
         if (!givenUp.isEmpty() || !forgotten.isEmpty()) {
             String key = "settle " + (givenUp.isEmpty() ? forgotten.get(0) : givenUp.get(0));
             if (member.proposeOnce(
-                            key, new Entry.Settle(member.fence(FleetBook.LEDGER), givenUp, forgotten), outcome -> {})
+                            key, new Entry.Settle(member.fence(FleetState.LEDGER), givenUp, forgotten), outcome -> {})
                     && !givenUp.isEmpty()) {
                 member.logLine("gives up " + givenUp.size() + " orders whose worker has not reported for "
                         + Math.round(covered.awaitMs()) + " ms: " + givenUp.get(0)
@@ -379,14 +379,14 @@
     }
 
     @Override
-    public void at(Holder front) {
+    public void setHolder(Holder front) {
         holder = front;
     }
 
     @Override
-    public void take(Ledger.Order order, Consumer<Fleet.Said> callback) {
+    public void take(Ledger.Order order, Consumer<Fleet.Reply> callback) {
         if (!member.mayAct()) {
-            callback.accept(new Fleet.Said(
+            callback.accept(new Fleet.Reply(
                     false,
                     false,
                     member.stopping()
@@ -409,8 +409,8 @@
                 callback);
     }
 
-    private static Known known(Orders.Order order, boolean kept) {
-        return new Known(
+    private static OrderStatus status(Orders.Order order, boolean kept) {
+        return new OrderStatus(
                 order.id(),
                 !kept
                         ? Stage.REFUSED
@@ -425,15 +425,15 @@
     }
 
     @Override
-    public Known known(String id) {
+    public OrderStatus status(String id) {
         Orders.Order order = member.state().orders().find(id);
-        return order == null ? null : known(order, true);
+        return order == null ? null : status(order, true);
     }
 
     @Override
-    public Known known(String function, String unique) {
+    public OrderStatus status(String function, String unique) {
         Orders.Order order = member.state().orders().findByKey(function, unique);
-        return order == null ? null : known(order, true);
+        return order == null ? null : status(order, true);
     }
 
     @Override
@@ -456,23 +456,24 @@
     }
 
     @Override
-    public void told(String id, Word report, byte[] result) {
+    public void report(String id, Report report, byte[] result) {
         Orders.Order order = member.state().orders().find(id);
         Integer lease = grantedLeases.get(id);
-        if (report != Word.HANDED_BACK) {
+        if (report != Report.HANDED_BACK) {
             held.remove(id);
             leaseRequests.remove(id);
         }
         if (order == null) {
             return;
         }
-        if (report == Word.RELEASED) {
+        if (report == Report.RELEASED) {
             pendingHolds.remove(id);
             pendingReleases.add(id);
             claimPausedUntil.put(id, member.nowMs() + CLAIM_PAUSE_MS);
-        } else if (lease == null && (report == Word.STALLED || report == Word.GIVEN_UP || report == Word.FAILED)) {
+        } else if (lease == null
+                && (report == Report.STALLED || report == Report.GIVEN_UP || report == Report.FAILED)) {
             pendingReports.put(id, new PendingReport(Event.GIVE_UP, 0, EMPTY_RESULT));
-        } else if (lease != null || report == Word.DONE) {
+        } else if (lease != null || report == Report.DONE) {
             // A result that arrives at another scheduler than the leaseholder counts for the latest lease.
             pendingReports.put(
                     id,
--- a/src/main/java/plumpost/fleet/Orders.java
+++ b/src/main/java/plumpost/fleet/Orders.java
@@ -124,7 +124,7 @@
     }
 
     /** Accepts an order; if its key is known already the outcome names the handle of that order instead. */
-    Outcome take(Entry.Take command, Sessions sessions, Collection<News> events) {
+    Outcome take(Entry.Take command, Sessions sessions, Collection<FleetEvent> events) {
         Order existing = byId.get(command.id());
         existing = existing != null || command.unique().isEmpty()
                 ? existing
@@ -158,7 +158,7 @@
     }
 
     /** Applies an event of an order, reported by the session that holds it or that received its worker's report. */
-    Outcome applyEvent(Entry.Told command, Sessions sessions, Collection<News> events) {
+    Outcome applyEvent(Entry.Told command, Sessions sessions, Collection<FleetEvent> events) {
         Order order = byId.get(command.id());
         if (order == null) {
             return Outcome.refused("order " + command.id() + " is not known");
@@ -169,7 +169,7 @@
                 && (!sessionLive
                         || !order.isHeldBy(command.session())
                         || command.lease() != order.lease
-                        || sessions.of(order.holder).state() == Sessions.State.LEAVING)) {
+                        || sessions.find(order.holder).state() == Sessions.State.LEAVING)) {
             return Outcome.refused("order " + order.id + " is not "
                     + command.session().name() + "#" + command.session().incarnation() + "'s to lease");
         }
@@ -185,7 +185,7 @@
         if (command.event() == Event.GIVE_UP) {
             // It never ran: nothing is kept, and a client may submit it again.
             remove(order);
-            events.add(new News.OrderChanged(order.withState(State.FAILED, order.lease, EMPTY_RESULT), order));
+            events.add(new FleetEvent.OrderChanged(order.withState(State.FAILED, order.lease, EMPTY_RESULT), order));
             return Outcome.DONE;
         }
         Order next = order.withState(
@@ -204,9 +204,9 @@
     }
 
     /** Makes a session the holder of those of the given orders that are still free. */
-    Outcome claim(Entry.Claim command, Sessions sessions, Collection<News> events) {
+    Outcome claim(Entry.Claim command, Sessions sessions, Collection<FleetEvent> events) {
         if (!sessions.live(command.session().name(), command.session().incarnation())
-                || sessions.of(command.session().name()).state() == Sessions.State.LEAVING) {
+                || sessions.find(command.session().name()).state() == Sessions.State.LEAVING) {
             return Outcome.refused("no such session as " + command.session().name() + "#"
                     + command.session().incarnation());
         }
@@ -230,7 +230,7 @@
     }
 
     /** Frees those of the given orders that the session holds and has not handed out. */
-    Outcome release(Entry.Release command, Collection<News> events) {
+    Outcome release(Entry.Release command, Collection<FleetEvent> events) {
         for (String id : command.ids()) {
             Order order = byId.get(id);
             if (order != null && order.state == State.TAKEN && order.isHeldBy(command.session())) {
@@ -241,7 +241,7 @@
     }
 
     /** Gives up the awaited orders, and forgets the ended ones, that the owner of the ledger names. */
-    Outcome settle(Entry.Settle command, Collection<News> events) {
+    Outcome settle(Entry.Settle command, Collection<FleetEvent> events) {
         for (String id : command.givenUp()) {
             Order order = byId.get(id);
             if (order != null && order.state == State.AWAITED) {
@@ -263,7 +263,7 @@
     }
 
     /** Handles the end of a session: orders that it had not leased become free, leased ones are awaited. */
-    void sessionLost(String name, long incarnation, Collection<News> events) {
+    void sessionLost(String name, long incarnation, Collection<FleetEvent> events) {
         forEachMatching(
                 order -> order.holder.equals(name) && order.incarnation == incarnation && !order.state.ended(),
                 order -> {
@@ -274,7 +274,7 @@
     }
 
     /** Frees the orders of a session that shuts down in order, except those that it has handed out. */
-    void sessionLeaving(String name, long incarnation, Collection<News> events) {
+    void sessionLeaving(String name, long incarnation, Collection<FleetEvent> events) {
         forEachMatching(
                 order -> order.state == State.TAKEN && order.holder.equals(name) && order.incarnation == incarnation,
                 order -> update(order.withHolder("", 0), events));
@@ -294,13 +294,13 @@
         storedBytes -= order.bytes();
     }
 
-    private void update(Order order, Collection<News> events) {
+    private void update(Order order, Collection<FleetEvent> events) {
         Order previous = byId.put(order.id, order);
         storedBytes += order.bytes() - (previous == null ? 0 : previous.bytes());
         if (previous == null && !order.unique.isEmpty()) {
             byKey.put(key(order.function, order.unique), order.id);
         }
-        events.add(new News.OrderChanged(order, previous));
+        events.add(new FleetEvent.OrderChanged(order, previous));
     }
 
     /** The part of a snapshot that holds the orders. */
@@ -312,7 +312,7 @@
 
     static Orders fromSnapshot(Snapshot snapshot) {
         Orders restored = new Orders();
-        List<News> ignored = new ArrayList<>();
+        List<FleetEvent> ignored = new ArrayList<>();
         snapshot.orders.forEach(order -> restored.update(order, ignored));
         return restored;
     }
--- a/src/main/java/plumpost/fleet/Plans.java
+++ b/src/main/java/plumpost/fleet/PlannedJobs.java
@@ -14,7 +14,7 @@
  * record. When a session ends, a job that is fired and not begun goes to another session; a job that it had begun starts
  * again if it is repeatable, otherwise it is given up, since it may have run.
  */
-public final class Plans {
+public final class PlannedJobs {
     /** Maximum number of jobs, and of bytes of their bodies; what exceeds them is refused, and nothing is dropped. */
     static final int MAX_JOBS = 100_000;
 
@@ -98,7 +98,7 @@
         return function + '\0' + unique;
     }
 
-    Outcome plan(Entry.Plan command, Collection<News> events) {
+    Outcome plan(Entry.Plan command, Collection<FleetEvent> events) {
         Job existing = byId.get(command.id());
         existing = existing != null || command.unique().isEmpty()
                 ? existing
@@ -126,11 +126,11 @@
             byKey.put(key(command.function(), command.unique()), job.id);
         }
         bodyBytes += job.body.length;
-        events.add(new News.JobChanged(job));
+        events.add(new FleetEvent.JobChanged(job));
         return new Outcome(true, 0, job.id);
     }
 
-    Outcome fire(Entry.Fire command, String fenceError, Sessions sessions, Collection<News> events) {
+    Outcome fire(Entry.Fire command, String fenceError, Sessions sessions, Collection<FleetEvent> events) {
         Job job = byId.get(command.id());
         if (fenceError != null) {
             return Outcome.refused(fenceError);
@@ -140,7 +140,7 @@
                     "job " + command.id() + " is " + (job == null ? "over" : job.state + " at " + job.target));
         }
         if (!sessions.live(command.target(), command.incarnation())
-                || sessions.of(command.target()).state() == Sessions.State.LEAVING) {
+                || sessions.find(command.target()).state() == Sessions.State.LEAVING) {
             return Outcome.refused("no such session as " + command.target() + "#" + command.incarnation());
         }
         update(job.withState(State.FIRED, command.target(), command.incarnation(), command.fence()), events);
@@ -152,10 +152,10 @@
      * assigned to another.
      */
     static boolean isStalled(Job job, Sessions sessions) {
-        return job.state == State.FIRED && sessions.of(job.target).state() != Sessions.State.ALIVE;
+        return job.state == State.FIRED && sessions.find(job.target).state() != Sessions.State.ALIVE;
     }
 
-    Outcome begin(Entry.Begin command, Sessions sessions, Collection<News> events) {
+    Outcome begin(Entry.Begin command, Sessions sessions, Collection<FleetEvent> events) {
         Job job = byId.get(command.id());
         if (job == null
                 || job.state != State.FIRED
@@ -169,7 +169,7 @@
         return Outcome.DONE;
     }
 
-    Outcome end(Entry.End command, Collection<News> events) {
+    Outcome end(Entry.End command, Collection<FleetEvent> events) {
         Job job = byId.get(command.id());
         if (job == null
                 || job.state != State.BEGUN
@@ -186,7 +186,7 @@
         return Outcome.DONE;
     }
 
-    Outcome callOff(Entry.CallOff command, Collection<News> events) {
+    Outcome callOff(Entry.CallOff command, Collection<FleetEvent> events) {
         Job job = byId.get(command.id());
         if (job == null || job.state != State.WAITING) {
             return Outcome.refused("job " + command.id() + (job == null ? " is over" : " is " + job.state));
@@ -196,7 +196,7 @@
     }
 
     /** Handles the end of a session: fired jobs wait again, begun ones wait again if repeatable and are given up if not. */
-    void sessionLost(String name, long incarnation, Collection<News> events) {
+    void sessionLost(String name, long incarnation, Collection<FleetEvent> events) {
         for (Job job : List.copyOf(byId.values())) {
             if (job.target.equals(name) && job.incarnation == incarnation) {
                 if (job.state == State.FIRED || job.repeatable) {
@@ -212,17 +212,17 @@
         }
     }
 
-    private void update(Job job, Collection<News> events) {
+    private void update(Job job, Collection<FleetEvent> events) {
         byId.put(job.id, job);
-        events.add(new News.JobChanged(job));
+        events.add(new FleetEvent.JobChanged(job));
     }
 
-    private void finish(Job job, Collection<News> events) {
+    private void finish(Job job, Collection<FleetEvent> events) {
         byId.remove(job.id);
         byKey.remove(key(job.function, job.unique), job.id);
         bodyBytes -= job.body.length;
         endedCount++;
-        events.add(new News.JobChanged(job.withState(State.ENDED, job.target, job.incarnation, job.fence)));
+        events.add(new FleetEvent.JobChanged(job.withState(State.ENDED, job.target, job.incarnation, job.fence)));
     }
 
     /** The part of a snapshot that holds the planned jobs. */
@@ -232,8 +232,8 @@
         return new Snapshot(new ArrayList<>(byId.values()), new ArrayList<>(givenUp), endedCount);
     }
 
-    static Plans fromSnapshot(Snapshot snapshot) {
-        Plans restored = new Plans();
+    static PlannedJobs fromSnapshot(Snapshot snapshot) {
+        PlannedJobs restored = new PlannedJobs();
         for (Job job : snapshot.jobs) {
             restored.byId.put(job.id, job);
             if (!job.unique.isEmpty()) {
--- a/src/main/java/plumpost/fleet/ScheduleRunner.java
+++ b/src/main/java/plumpost/fleet/ScheduleRunner.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import plumpost.fleet.Plans.Job;
-import plumpost.fleet.Plans.State;
+import plumpost.fleet.PlannedJobs.Job;
+import plumpost.fleet.PlannedJobs.State;
 import plumpost.fleet.Sessions.Session;
 import plumpost.peers.Fleet;
 import plumpost.peers.Host;
@@ -57,7 +57,7 @@
         ownJobs.clear();
         load.clear();
         firedCount = 0;
-        member.state().plans().all().forEach(this::changed);
+        member.state().plannedJobs().all().forEach(this::changed);
         beginning.retainAll(ownJobs.keySet());
     }
 
@@ -120,7 +120,7 @@
 
     /** Assigns due jobs if it owns the schedule, and moves its own jobs on. */
     void poll() {
-        if (member.fence(FleetBook.SCHEDULE) > 0) {
+        if (member.fence(FleetState.SCHEDULE) > 0) {
             fireDue();
         }
         if (!member.sessionActive()) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Hands a job in, which uses up this session's right to run it; checks the lease once more right before. */
+    /** Submits a job, which uses up this session's right to run it; checks the lease once more right before. */
     private void handOut(Job job) {
         if (!member.mayAct()) {
             return;
@@ -188,7 +188,7 @@
         if (member.state().sessions().all().stream()
                 .anyMatch(session -> session.live() && session.state() != Sessions.State.ALIVE)) {
             openJobs.values().stream()
-                    .filter(job -> Plans.isStalled(job, member.state().sessions()))
+                    .filter(job -> PlannedJobs.isStalled(job, member.state().sessions()))
                     .forEach(jobs::add);
         }
         for (Job job : waiting) {
@@ -211,7 +211,7 @@
                     && member.proposeOnce(
                             "fire " + job.id(),
                             new Entry.Fire(
-                                    job.id(), member.fence(FleetBook.SCHEDULE), target.name(), target.incarnation()),
+                                    job.id(), member.fence(FleetState.SCHEDULE), target.name(), target.incarnation()),
                             outcome -> pendingLoad.merge(target.name(), -1, Integer::sum))) {
                 proposed++;
                 pendingLoad.merge(target.name(), 1, Integer::sum); // spreads jobs that are due together
--- a/src/main/java/plumpost/fleet/SessionRunner.java
+++ b/src/main/java/plumpost/fleet/SessionRunner.java
@@ -58,10 +58,10 @@
                 join();
             }
         } else if (nowMs >= nextHeartbeatMs) {
-            nextHeartbeatMs = nowMs + config.beatMs();
+            nextHeartbeatMs = nowMs + config.heartbeatMs();
             long currentIncarnation = incarnation;
             member.log()
-                    .beat(
+                    .sendHeartbeat(
                             config.self().name(),
                             currentIncarnation,
                             nowMs - lastHeardMs,
@@ -91,7 +91,7 @@
                                 member.count("joined");
                                 member.logLine("joined as incarnation " + incarnation);
                             } else if (outcome != null) {
-                                member.halted(outcome.words());
+                                member.halted(outcome.detail());
                             }
                         });
     }
@@ -102,7 +102,7 @@
         }
         if (received) {
             lastHeardMs = member.nowMs();
-            leaseEndMs = Math.max(leaseEndMs, sentMs + config.lostMs() * 2 / 3);
+            leaseEndMs = Math.max(leaseEndMs, sentMs + config.sessionTimeoutMs() * 2 / 3);
         } else {
             member.sessionEnded("the leader reports that it has ended");
         }
--- a/src/main/java/plumpost/fleet/Sessions.java
+++ b/src/main/java/plumpost/fleet/Sessions.java
@@ -41,10 +41,10 @@
     public record Session(
             String name,
             String site,
-            String disk,
+            String directoryId,
             boolean vote,
             String nonce,
-            int reads,
+            int maxFormat,
             List<Offer> offers,
             long incarnation,
             State state,
@@ -55,7 +55,7 @@
         }
 
         Session withState(State next) {
-            return new Session(name, site, disk, vote, nonce, reads, offers, incarnation, next, functions);
+            return new Session(name, site, directoryId, vote, nonce, maxFormat, offers, incarnation, next, functions);
         }
 
         boolean offers(String duty) {
@@ -74,7 +74,7 @@
     }
 
     /** Returns the latest session of a scheduler, or null. */
-    public Session of(String name) {
+    public Session find(String name) {
         return byName.get(name);
     }
 
@@ -85,10 +85,10 @@
     }
 
     /** The newest record format that is read by every scheduler which may still read the log. */
-    public int reads() {
+    public int commonFormat() {
         return byName.values().stream()
                 .filter(session -> session.state != State.REMOVED && session.state != State.LEFT)
-                .mapToInt(Session::reads)
+                .mapToInt(Session::maxFormat)
                 .min()
                 .orElse(format);
     }
@@ -99,14 +99,15 @@
     }
 
     Outcome raise(Entry.Raise command) {
-        if (command.format() > reads()) {
-            return Outcome.refused("record format " + command.format() + " is not read by all, " + reads() + " is");
+        if (command.format() > commonFormat()) {
+            return Outcome.refused(
+                    "record format " + command.format() + " is not read by all, " + commonFormat() + " is");
         }
         format = Math.max(format, command.format());
         return Outcome.DONE;
     }
 
-    Outcome join(Entry.Join command, Collection<News> events) {
+    Outcome join(Entry.Join command, Collection<FleetEvent> events) {
         Session previous = byName.get(command.name());
         if (removedDirectories.contains(command.directoryId())) {
             return Outcome.refused("the data directory of " + command.name()
@@ -134,10 +135,10 @@
                 State.ALIVE,
                 List.of());
         if (previous != null && previous.live()) {
-            events.add(new News.SessionChanged(previous.withState(State.LOST), previous.state));
+            events.add(new FleetEvent.SessionChanged(previous.withState(State.LOST), previous.state));
         }
         byName.put(session.name, session);
-        events.add(new News.SessionChanged(session, null));
+        events.add(new FleetEvent.SessionChanged(session, null));
         return Outcome.done(session.incarnation);
     }
 
@@ -145,7 +146,7 @@
         return byName.values().removeIf(session -> session.state == State.LEFT || session.state == State.REMOVED);
     }
 
-    Outcome judge(Entry.Judge command, long term, Collection<News> events) {
+    Outcome judge(Entry.Judge command, long term, Collection<FleetEvent> events) {
         if (command.term() != term) {
             return Outcome.refused("term " + command.term() + " is over");
         }
@@ -160,14 +161,14 @@
         return Outcome.DONE;
     }
 
-    Outcome leave(Entry.Leave command, Collection<News> events) {
+    Outcome leave(Entry.Leave command, Collection<FleetEvent> events) {
         if (live(command.name(), command.incarnation())) {
             changeState(command.name(), command.last() ? State.LEFT : State.LEAVING, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome remove(Entry.Remove command, Collection<News> events) {
+    Outcome remove(Entry.Remove command, Collection<FleetEvent> events) {
         Session session = byName.get(command.name());
         if (session == null) {
             return Outcome.refused("no scheduler " + command.name() + " is known");
@@ -176,13 +177,13 @@
             if (removedDirectories.size() >= MAX_REMOVED) {
                 removedDirectories.remove(removedDirectories.iterator().next());
             }
-            removedDirectories.add(session.disk);
+            removedDirectories.add(session.directoryId);
             changeState(command.name(), State.REMOVED, events);
         }
         return Outcome.DONE;
     }
 
-    Outcome serves(Entry.Serves command, Collection<News> events) {
+    Outcome serves(Entry.Serves command, Collection<FleetEvent> events) {
         Session previous = byName.get(command.name());
         if (!live(command.name(), command.incarnation())) {
             return Outcome.refused("no such session");
@@ -192,23 +193,23 @@
                 new Session(
                         previous.name,
                         previous.site,
-                        previous.disk,
+                        previous.directoryId,
                         previous.vote,
                         previous.nonce,
-                        previous.reads,
+                        previous.maxFormat,
                         previous.offers,
                         previous.incarnation,
                         previous.state,
                         List.copyOf(command.functions())));
-        events.add(new News.SessionChanged(byName.get(previous.name), previous.state));
+        events.add(new FleetEvent.SessionChanged(byName.get(previous.name), previous.state));
         return Outcome.DONE;
     }
 
-    private void changeState(String name, State next, Collection<News> events) {
+    private void changeState(String name, State next, Collection<FleetEvent> events) {
         Session previous = byName.get(name);
         if (previous.state != next) {
             byName.put(name, previous.withState(next));
-            events.add(new News.SessionChanged(previous.withState(next), previous.state));
+            events.add(new FleetEvent.SessionChanged(previous.withState(next), previous.state));
         }
     }
 
--- a/src/main/java/plumpost/fleet/engine/DataDirectory.java
+++ b/src/main/java/plumpost/fleet/engine/DataDirectory.java
@@ -73,7 +73,7 @@
         Fields fields = Json.object(file.toString(), Files.readAllBytes(file));
         requireSame(file, "name", fields.text("name"), name);
         requireSame(file, "group", fields.text("group"), group);
-        int format = fields.whole("format");
+        int format = fields.integer("format");
         if (format < 1 || format > LAYOUT_VERSION) {
             throw new BadInput(file + ": field format is " + format + ", this program reads 1 to " + LAYOUT_VERSION);
         }
--- a/src/main/java/plumpost/fleet/engine/Failpoints.java
+++ b/src/main/java/plumpost/fleet/engine/Failpoints.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import plumpost.fleet.Entry;
-import plumpost.fleet.FleetBook;
 import plumpost.fleet.FleetLog;
+import plumpost.fleet.FleetState;
 import plumpost.fleet.Outcome;
 import plumpost.peers.Fleet;
 import plumpost.peers.Host;
@@ -78,8 +78,9 @@
             }
 
             @Override
-            public void beat(String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
-                delegate.beat(name, incarnation, msWithoutLeader, onResult);
+            public void sendHeartbeat(
+                    String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
+                delegate.sendHeartbeat(name, incarnation, msWithoutLeader, onResult);
             }
 
             @Override
@@ -100,8 +101,8 @@
     }
 
     /** Wraps a listener so that it can block after an entry is committed and before it takes effect here. */
-    FleetLog.Ear wrapListener(FleetLog.Ear delegate) {
-        return new FleetLog.Ear() {
+    FleetLog.Listener wrapListener(FleetLog.Listener delegate) {
+        return new FleetLog.Listener() {
             @Override
             public void applied(Entry entry, long term) {
                 haltAt("after " + entryName(entry));
@@ -109,7 +110,7 @@
             }
 
             @Override
-            public void restored(FleetBook.Image image) {
+            public void restored(FleetState.Snapshot image) {
                 delegate.restored(image);
             }
 
@@ -152,18 +153,18 @@
             }
 
             @Override
-            public void told(String line) {
-                delegate.told(line);
+            public void onNodeListLine(String line) {
+                delegate.onNodeListLine(line);
             }
 
             @Override
-            public void ask(boolean itself, boolean whole) {
-                delegate.ask(itself, whole);
+            public void setDiscoveryQueries(boolean itself, boolean whole) {
+                delegate.setDiscoveryQueries(itself, whole);
             }
 
             @Override
-            public boolean hears() {
-                return delegate.hears();
+            public boolean discoveryAnswers() {
+                return delegate.discoveryAnswers();
             }
         };
     }
--- a/src/main/java/plumpost/fleet/engine/FleetJson.java
+++ b/src/main/java/plumpost/fleet/engine/FleetJson.java
@@ -6,15 +6,15 @@
 import java.io.StringWriter;
 import java.util.Collection;
 import plumpost.fleet.Duties.Duty;
-import plumpost.fleet.FleetBook;
-import plumpost.fleet.Plans;
+import plumpost.fleet.FleetState;
+import plumpost.fleet.PlannedJobs;
 import plumpost.fleet.Sessions.Session;
 
 /** Formats the output of {@code fleet show --json}: members, duties, bans and the schedule in the fleet's agreed state. */
 final class FleetJson {
     private FleetJson() {}
 
-    static String format(FleetBook state, String leader) {
+    static String format(FleetState state, String leader) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
             json.writeStartObject();
@@ -27,7 +27,7 @@
                 json.writeStringField("state", session.state().name().toLowerCase(java.util.Locale.ROOT));
                 json.writeNumberField("incarnation", session.incarnation());
                 json.writeStringField("site", session.site());
-                json.writeNumberField("reads", session.reads());
+                json.writeNumberField("reads", session.maxFormat());
                 json.writeBooleanField("vote", session.vote());
                 writeStrings(json, "functions", session.functions());
                 json.writeEndObject();
@@ -45,17 +45,17 @@
             json.writeEndArray();
             writeStrings(json, "offline", state.bans());
             json.writeObjectFieldStart("schedule");
-            for (Plans.State plannedState : Plans.State.values()) {
-                if (plannedState != Plans.State.ENDED) {
+            for (PlannedJobs.State plannedState : PlannedJobs.State.values()) {
+                if (plannedState != PlannedJobs.State.ENDED) {
                     json.writeNumberField(
                             plannedState.name().toLowerCase(java.util.Locale.ROOT),
-                            state.plans().all().stream()
+                            state.plannedJobs().all().stream()
                                     .filter(p -> p.state() == plannedState)
                                     .count());
                 }
             }
-            json.writeNumberField("ended", state.plans().ended());
-            writeStrings(json, "givenUp", state.plans().givenUp());
+            json.writeNumberField("ended", state.plannedJobs().ended());
+            writeStrings(json, "givenUp", state.plannedJobs().givenUp());
             json.writeEndObject();
             json.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/plumpost/fleet/engine/FleetMaker.java
+++ b/src/main/java/plumpost/fleet/engine/FleetMaker.java
@@ -50,7 +50,7 @@
                 config,
                 HexFormat.of().formatHex(nonce),
                 dataDirectory.diskId(),
-                config.asks(),
+                config.queriesDiscovery(),
                 failpoints == null ? host : failpoints.wrapHost(host),
                 context.clock(),
                 context.unixTime(),
@@ -64,7 +64,7 @@
                 loop::accept,
                 context.log(),
                 failpoints);
-        member.on(failpoints == null ? fleetLog : failpoints.wrapLog(fleetLog));
+        member.setLog(failpoints == null ? fleetLog : failpoints.wrapLog(fleetLog));
         fleetLog.start();
         return member;
     }
@@ -116,12 +116,12 @@
         } else {
             entry = new Entry.Remove(argument);
         }
-        int format = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).whole("format");
+        int format = Json.object("fleet", json.getBytes(StandardCharsets.UTF_8)).integer("format");
         ByteString reply = successfulContent(
-                client.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(entry, format)))));
-        Outcome outcome = FleetCodec.outcome(reply.toByteArray());
+                client.io().send(Message.valueOf(ByteString.copyFrom(FleetCodec.encode(entry, format)))));
+        Outcome outcome = FleetCodec.decodeOutcome(reply.toByteArray());
         if (!outcome.done()) {
-            throw new BadInput("fleet " + command + ": " + outcome.words());
+            throw new BadInput("fleet " + command + ": " + outcome.detail());
         }
         return command.equals("yield") ? argument + " passed on, fence " + outcome.number() : argument + " removed";
     }
--- a/src/main/java/plumpost/fleet/engine/FleetStateMachine.java
+++ b/src/main/java/plumpost/fleet/engine/FleetStateMachine.java
@@ -33,9 +33,9 @@
 import org.apache.ratis.util.LifeCycle;
 import org.apache.ratis.util.MD5FileUtil;
 import plumpost.fleet.Entry;
-import plumpost.fleet.FleetBook;
 import plumpost.fleet.FleetCodec;
-import plumpost.fleet.News;
+import plumpost.fleet.FleetEvent;
+import plumpost.fleet.FleetState;
 import plumpost.fleet.Outcome;
 
 /** The Ratis state machine of the fleet: applies log entries to the fleet's state, keeps its snapshots and notifies a listener. */
@@ -46,7 +46,7 @@
         void applied(Entry entry, long term);
 
         /** The state was replaced by a snapshot's. */
-        void restored(FleetBook.Image image);
+        void restored(FleetState.Snapshot snapshot);
 
         /** The log cannot be applied or written any more, for the given reason. */
         void halted(String reason);
@@ -56,7 +56,7 @@
     }
 
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-    private final FleetBook state = new FleetBook();
+    private final FleetState state = new FleetState();
     private final Listener listener;
     private final Function<String, String> queryHandler;
     private final LongAdder syncCount = new LongAdder();
@@ -94,7 +94,7 @@
     }
 
     /** Returns the fleet's state, which may be used only while this object's lock is held. */
-    FleetBook state() {
+    FleetState state() {
         return state;
     }
 
@@ -142,13 +142,13 @@
             throw new IOException("the snapshot " + file + " is damaged: its MD5 digest does not match");
         }
         try (InputStream in = new BufferedInputStream(new FileInputStream(file))) {
-            state.restore(FleetCodec.snapshot(in));
-        } catch (FleetCodec.Unreadable e) {
+            state.restore(FleetCodec.readSnapshot(in));
+        } catch (FleetCodec.UnreadableException e) {
             halt(e.getMessage() + ", in " + file);
             throw e;
         }
         setLastAppliedTermIndex(SimpleStateMachineStorage.getTermIndexFromSnapshotFile(file));
-        listener.restored(state.image());
+        listener.restored(state.snapshot());
     }
 
     @Override
@@ -159,19 +159,19 @@
     @Override
     public long takeSnapshot() throws IOException {
         TermIndex lastApplied;
-        FleetBook copy = new FleetBook();
+        FleetState copy = new FleetState();
         synchronized (this) {
             lastApplied = getLastAppliedTermIndex();
             if (halted || lastApplied == null || lastApplied.getIndex() < 0) {
                 return -1;
             }
-            copy.restore(state.image());
+            copy.restore(state.snapshot());
         }
         File file = storage.getSnapshotFile(lastApplied.getTerm(), lastApplied.getIndex());
         File partial = new File(file.getPath() + ".half");
         try (FileOutputStream out = new FileOutputStream(partial)) {
             BufferedOutputStream buffered = new BufferedOutputStream(out);
-            FleetCodec.write(copy, buffered);
+            FleetCodec.writeSnapshot(copy, buffered);
             buffered.flush();
             out.getFD().sync();
         }
@@ -187,11 +187,11 @@
         TransactionContext transaction = super.startTransaction(request);
         try {
             String reason = listener.refusalReason(
-                    FleetCodec.entry(request.getMessage().getContent().toByteArray()));
+                    FleetCodec.decodeEntry(request.getMessage().getContent().toByteArray()));
             if (reason != null) {
                 transaction.setException(new StateMachineException(reason, null, false));
             }
-        } catch (FleetCodec.Unreadable e) {
+        } catch (FleetCodec.UnreadableException e) {
             transaction.setException(
                     new StateMachineException(e.getMessage(), e, false)); // refused before it enters the log
         }
@@ -208,17 +208,17 @@
                 return new CompletableFuture<>(); // an entry was skipped: none after it may be applied
             }
             try {
-                Entry entry = FleetCodec.entry(bytes);
-                List<News> events = new ArrayList<>();
+                Entry entry = FleetCodec.decodeEntry(bytes);
+                List<FleetEvent> events = new ArrayList<>();
                 outcome = state.apply(entry, logEntry.getTerm(), events);
                 updateLastAppliedTermIndex(logEntry.getTerm(), logEntry.getIndex());
                 listener.applied(entry, logEntry.getTerm());
-            } catch (FleetCodec.Unreadable e) {
+            } catch (FleetCodec.UnreadableException e) {
                 halt(e.getMessage() + ", at " + logEntry.getTerm() + ":" + logEntry.getIndex() + " of the log");
                 return new CompletableFuture<>();
             }
         }
-        return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(outcome))));
+        return CompletableFuture.completedFuture(Message.valueOf(ByteString.copyFrom(FleetCodec.encode(outcome))));
     }
 
     /**
--- a/src/main/java/plumpost/fleet/engine/RatisLog.java
+++ b/src/main/java/plumpost/fleet/engine/RatisLog.java
@@ -23,11 +23,11 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.ByteString;
 import org.apache.ratis.util.LifeCycle;
 import plumpost.config.PeersConfig;
-import plumpost.fleet.Beats;
 import plumpost.fleet.Entry;
-import plumpost.fleet.FleetBook;
 import plumpost.fleet.FleetCodec;
 import plumpost.fleet.FleetLog;
+import plumpost.fleet.FleetState;
+import plumpost.fleet.HeartbeatMonitor;
 import plumpost.fleet.Outcome;
 import plumpost.fleet.Sessions;
 
@@ -43,7 +43,7 @@
 
     private final PeersConfig config;
     private final DataDirectory dataDirectory;
-    private final Ear listener;
+    private final Listener listener;
     private final Executor loop;
     private final Consumer<String> log;
     private final RaftGroupId groupId;
@@ -54,7 +54,7 @@
     private final RaftCalls proposalCalls;
     private final RaftCalls heartbeatCalls;
     private final FleetStateMachine stateMachine;
-    private final Beats heartbeats;
+    private final HeartbeatMonitor heartbeats;
     private RaftServer server;
     private Membership membership;
     private volatile boolean closed;
@@ -71,7 +71,7 @@
     RatisLog(
             PeersConfig config,
             DataDirectory dataDirectory,
-            Ear listener,
+            Listener listener,
             Executor loop,
             Consumer<String> log,
             Failpoints failpoints) {
@@ -82,7 +82,8 @@
         this.log = log;
         this.groupId = RatisSetup.groupId(config.group());
         this.self = PeerNameResolver.toRaftPeer(config.self(), dataDirectory.diskId());
-        this.heartbeats = new Beats(config.lostMs() * 2 / 3, config.lostMs(), 5 * POLL_INTERVAL_MS);
+        this.heartbeats = new HeartbeatMonitor(
+                config.sessionTimeoutMs() * 2 / 3, config.sessionTimeoutMs(), 5 * POLL_INTERVAL_MS);
         this.stateMachine = new FleetStateMachine(this, this::answerQuery, failpoints);
         this.proposalCalls = new RaftCalls(
                 () -> RatisSetup.memberClient(currentGroup(), config, PROPOSAL_TIMEOUT_MS),
@@ -93,7 +94,7 @@
         this.heartbeatCalls = new RaftCalls(
                 () -> RatisSetup.memberClient(currentGroup(), config, 0),
                 MAX_CONCURRENT_HEARTBEATS,
-                Math.round(2 * config.lostMs()),
+                Math.round(2 * config.sessionTimeoutMs()),
                 r -> daemonThread(r, "fleet-beat"),
                 loop);
         PeerNameResolver.registerAddresses(config);
@@ -193,20 +194,20 @@
             }
             if (!isLeader()) {
                 synchronized (stateMachine) {
-                    heartbeats.lead(nowMs());
+                    heartbeats.startLeading(nowMs());
                 }
                 return;
             }
             List<Entry> entries;
             List<String> removed = new ArrayList<>();
             synchronized (stateMachine) {
-                entries = heartbeats.look(
+                entries = heartbeats.check(
                         stateMachine.state().sessions().all(),
                         server.getDivision(groupId).getInfo().getCurrentTerm(),
                         nowMs());
                 for (Sessions.Session session : stateMachine.state().sessions().all()) {
                     if (session.state() == Sessions.State.REMOVED) {
-                        removed.add(session.name() + "." + session.disk());
+                        removed.add(session.name() + "." + session.directoryId());
                     }
                 }
             }
@@ -231,10 +232,10 @@
         int newestFormat;
         synchronized (stateMachine) {
             Sessions sessions = stateMachine.state().sessions();
-            newestFormat = Math.min(FleetCodec.FORMAT, sessions.reads());
+            newestFormat = Math.min(FleetCodec.FORMAT, sessions.commonFormat());
             if (newestFormat <= sessions.format()
                     || !members.stream()
-                            .map(p -> sessions.of(PeerNameResolver.memberName(p.getId())))
+                            .map(p -> sessions.find(PeerNameResolver.memberName(p.getId())))
                             .allMatch(s -> s != null && s.live())) {
                 return;
             }
@@ -256,8 +257,8 @@
             // A member that has not reached a leader for this long has already stopped its duties, so that its
             // heartbeat
             // must not keep them from others.
-            if (Long.parseLong(words[3]) < config.lostMs() * 2 / 3) {
-                heartbeats.beat(words[1], incarnation, nowMs(), Double.parseDouble(words[4]));
+            if (Long.parseLong(words[3]) < config.sessionTimeoutMs() * 2 / 3) {
+                heartbeats.recordHeartbeat(words[1], incarnation, nowMs(), Double.parseDouble(words[4]));
             }
             return (stateMachine.state().sessions().live(words[1], incarnation) ? "live " : "over ")
                     + stateMachine.lastAppliedIndex();
@@ -295,15 +296,15 @@
         synchronized (stateMachine) {
             format = stateMachine.state().sessions().format();
         }
-        Message message = Message.valueOf(ByteString.copyFrom(FleetCodec.bytes(entry, format)));
+        Message message = Message.valueOf(ByteString.copyFrom(FleetCodec.encode(entry, format)));
         proposalCalls.call(c -> c.io().send(message), reply -> {
             try {
                 onOutcome.accept(
                         reply == null
                                 ? null
-                                : FleetCodec.outcome(
+                                : FleetCodec.decodeOutcome(
                                         reply.getMessage().getContent().toByteArray()));
-            } catch (FleetCodec.Unreadable e) {
+            } catch (FleetCodec.UnreadableException e) {
                 log.accept("fleet: " + e.getMessage());
                 onOutcome.accept(null);
             }
@@ -311,7 +312,7 @@
     }
 
     @Override
-    public void beat(String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
+    public void sendHeartbeat(String name, long incarnation, double msWithoutLeader, Consumer<Boolean> onResult) {
         if (openHeartbeats >= MAX_CONCURRENT_HEARTBEATS) {
             loop.execute(() -> onResult.accept(null));
             return;
@@ -389,7 +390,7 @@
                 boolean alive;
                 synchronized (stateMachine) {
                     Sessions.Session session =
-                            stateMachine.state().sessions().of(PeerNameResolver.memberName(peer.getId()));
+                            stateMachine.state().sessions().find(PeerNameResolver.memberName(peer.getId()));
                     alive = session != null && session.state() == Sessions.State.ALIVE;
                 }
                 if (alive && !peer.getId().equals(self.getId())) {
@@ -423,8 +424,8 @@
     }
 
     @Override
-    public void restored(FleetBook.Image image) {
-        loop.execute(() -> listener.restored(image));
+    public void restored(FleetState.Snapshot snapshot) {
+        loop.execute(() -> listener.restored(snapshot));
     }
 
     /**
--- a/src/main/java/plumpost/fleet/engine/RatisSetup.java
+++ b/src/main/java/plumpost/fleet/engine/RatisSetup.java
@@ -44,28 +44,29 @@
         GrpcConfigKeys.Server.setHost(properties, config.self().address().getHostString());
         GrpcConfigKeys.Server.setPort(properties, config.self().address().getPort());
         GrpcConfigKeys.Server.setAsyncRequestThreadPoolSize(properties, 4);
-        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
-        double electionTimeoutMs = Math.max(100, config.lostMs() / 3);
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MAX_ENTRY_BYTES));
+        double electionTimeoutMs = Math.max(100, config.sessionTimeoutMs() / 3);
         RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(electionTimeoutMs));
         RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(electionTimeoutMs * 2));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMin(properties, millis(electionTimeoutMs));
         RaftServerConfigKeys.Rpc.setFirstElectionTimeoutMax(properties, millis(electionTimeoutMs * 2));
         // A follower acknowledges an entry after its disk has synced it. With a shorter timeout the leader would send
         // entries again, and each would be queued twice on a slow disk.
-        RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(Math.max(1000, 2 * config.lostMs())));
+        RaftServerConfigKeys.Rpc.setRequestTimeout(properties, millis(Math.max(1000, 2 * config.sessionTimeoutMs())));
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(electionTimeoutMs * 2));
         RaftServerConfigKeys.LeaderElection.setPreVote(properties, true);
         RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        RaftServerConfigKeys.Read.setTimeout(properties, millis(config.lostMs() / 2));
+        RaftServerConfigKeys.Read.setTimeout(properties, millis(config.sessionTimeoutMs() / 2));
         RaftServerConfigKeys.Log.setPreallocatedSize(properties, SizeInBytes.valueOf("64KB"));
-        RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
-        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(3L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MAX_ENTRY_BYTES));
+        RaftServerConfigKeys.Log.setWriteBufferSize(properties, SizeInBytes.valueOf(3L * FleetCodec.MAX_ENTRY_BYTES));
         RaftServerConfigKeys.Log.setSegmentCacheNumMax(properties, 2);
-        RaftServerConfigKeys.Log.setSegmentCacheSizeMax(properties, SizeInBytes.valueOf(8L * FleetCodec.MOST_BYTES));
+        RaftServerConfigKeys.Log.setSegmentCacheSizeMax(
+                properties, SizeInBytes.valueOf(8L * FleetCodec.MAX_ENTRY_BYTES));
         RaftServerConfigKeys.Log.setPurgeUptoSnapshotIndex(properties, true);
         RaftServerConfigKeys.Log.setPurgeGap(properties, 1);
         RaftServerConfigKeys.Log.Appender.setBufferByteLimit(
-                properties, SizeInBytes.valueOf(2L * FleetCodec.MOST_BYTES));
+                properties, SizeInBytes.valueOf(2L * FleetCodec.MAX_ENTRY_BYTES));
         RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, true);
         RaftServerConfigKeys.Snapshot.setAutoTriggerThreshold(properties, config.snapshotEvery());
         RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
@@ -82,7 +83,7 @@
      * the leader hangs or ends, and there are as many attempts as fit into {@code callTimeoutMs}.
      */
     static RaftClient memberClient(RaftGroup group, PeersConfig config, double callTimeoutMs) {
-        double attemptTimeoutMs = Math.max(100, config.lostMs() / 4);
+        double attemptTimeoutMs = Math.max(100, config.sessionTimeoutMs() / 4);
         return client(group, (int) Math.ceil(callTimeoutMs / (attemptTimeoutMs + RETRY_PAUSE_MS)), attemptTimeoutMs);
     }
 
@@ -91,7 +92,7 @@
         RaftClientConfigKeys.Rpc.setRequestTimeout(properties, millis(attemptTimeoutMs));
         RaftClientConfigKeys.Async.Experimental.setSendDummyRequest(
                 properties, false); // it fails at a leader that is not ready
-        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MOST_BYTES));
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(4L * FleetCodec.MAX_ENTRY_BYTES));
         return RaftClient.newBuilder()
                 .setProperties(properties)
                 .setRaftGroup(group)
--- a/src/main/java/plumpost/front/Front.java
+++ b/src/main/java/plumpost/front/Front.java
@@ -23,5 +23,5 @@
     void stop(double signalledAtMs, double newConnectionGraceMs);
 
     /** Whether no client is waiting for this front. */
-    boolean quiet();
+    boolean isIdle();
 }
--- a/src/main/java/plumpost/gearman/AdminCommands.java
+++ b/src/main/java/plumpost/gearman/AdminCommands.java
@@ -31,7 +31,7 @@
                 && words.length == 3
                 && words[0].equalsIgnoreCase("cancel")
                 && words[1].equalsIgnoreCase("job")
-                && front.config.allowed().contains("cancel")
+                && front.config.allowedAdminCommands().contains("cancel")
                 && front.fleetJobs.fleet().planned(words[2]) != null) {
             front.fleetJobs
                     .fleet()
@@ -41,7 +41,7 @@
                                     reply.agreed()
                                             ? OK
                                             : "ERR JOB_NOT_CALLED_OFF "
-                                                    + reply.words().replace(' ', '+') + "\n"));
+                                                    + reply.detail().replace(' ', '+') + "\n"));
         } else {
             onAnswer.accept(answer(line));
         }
@@ -51,7 +51,8 @@
         String[] words = line.split("\\s+");
         String command = words[0].toLowerCase(java.util.Locale.ROOT);
         front.context.counters().count("gearman.admin");
-        if (GearmanConfig.HARMFUL.contains(command) && !front.config.allowed().contains(command)) {
+        if (GearmanConfig.RESTRICTED_ADMIN_COMMANDS.contains(command)
+                && !front.config.allowedAdminCommands().contains(command)) {
             return "ERR NOT_ALLOWED " + command + "+is+off:+set+gearman.admin." + command + "\n";
         }
         return switch (command) {
@@ -119,12 +120,13 @@
     private String show(String[] words) {
         if (words.length == 2 && words[1].equalsIgnoreCase("jobs")) {
             StringBuilder text = new StringBuilder();
-            front.core.each(job -> text.append(front.handleOf(job.sheet().id()))
-                    .append('\t')
-                    .append(Math.max(0, job.tries() - 1))
-                    .append("\t0\t")
-                    .append(job.running() ? 0 : 1)
-                    .append('\n'));
+            front.core.forEachOpenJob(
+                    job -> text.append(front.handleOf(job.spec().id()))
+                            .append('\t')
+                            .append(Math.max(0, job.tries() - 1))
+                            .append("\t0\t")
+                            .append(job.running() ? 0 : 1)
+                            .append('\n'));
             front.schedule
                     .entries()
                     .forEach(job ->
@@ -138,7 +140,8 @@
         }
         if (words.length == 3 && words[1].equalsIgnoreCase("unique") && words[2].equalsIgnoreCase("jobs")) {
             StringBuilder text = new StringBuilder();
-            front.core.each(job -> appendUnique(text, job.sheet().work().unique()));
+            front.core.forEachOpenJob(
+                    job -> appendUnique(text, job.spec().work().unique()));
             front.schedule
                     .entries()
                     .forEach(job -> appendUnique(text, job.request().work().unique()));
@@ -159,11 +162,11 @@
         if (front.schedule.remove(front.schedule.find(id))) {
             return OK;
         }
-        OpenJob job = front.core.entry(id);
+        OpenJob job = front.core.findJob(id);
         if (job == null) {
             return "ERR UNKNOWN_JOB\n";
         }
-        return front.core.callOff(job) ? OK : "ERR JOB_RUNNING A+worker+has+this+job\n";
+        return front.core.cancelIfNotRunning(job) ? OK : "ERR JOB_RUNNING A+worker+has+this+job\n";
     }
 
     private String create(String name) {
