--- a/src/main/java/plumpost/gearman/ClientSession.java
+++ b/src/main/java/plumpost/gearman/ClientSession.java
@@ -10,7 +10,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.OpenJob;
 import plumpost.gearman.FunctionTable.Function;
 import plumpost.gearman.Packet.Type;
@@ -88,11 +88,11 @@
     }
 
     private void writeStatus(Packet packet) {
-        Ledger.Known order = front.fleetOrders == null ? null : front.fleetOrders.find(packet.text(0));
+        Ledger.OrderStatus order = front.fleetOrders == null ? null : front.fleetOrders.find(packet.text(0));
         if (order != null) {
             connection.write(
                     Type.STATUS_RES,
-                    packet.parts().get(0),
+                    packet.arguments().get(0),
                     order.ended() ? 0 : 1,
                     order.stage() == Ledger.Stage.OUT ? 1 : 0,
                     Math.round(front.fleetOrders.progressOf(order.id()) * 100),
@@ -100,9 +100,9 @@
             return;
         }
         String id = front.jobId(packet.text(0));
-        OpenJob openJob = front.core.entry(id);
+        OpenJob openJob = front.core.findJob(id);
         if (openJob == null && front.schedule.find(id) != null) {
-            connection.write(Type.STATUS_RES, packet.parts().get(0), 1, 0, 0, 0);
+            connection.write(Type.STATUS_RES, packet.arguments().get(0), 1, 0, 0, 0);
             return;
         }
         if (openJob == null
@@ -110,7 +110,7 @@
                 && front.fleetJobs.fleet().planned(packet.text(0)) != null) {
             connection.write(
                     Type.STATUS_RES,
-                    packet.parts().get(0),
+                    packet.arguments().get(0),
                     1,
                     front.fleetJobs.fleet().fired(packet.text(0)) ? 1 : 0,
                     0,
@@ -120,7 +120,7 @@
         boolean running = openJob != null && openJob.running();
         connection.write(
                 Type.STATUS_RES,
-                packet.parts().get(0),
+                packet.arguments().get(0),
                 openJob == null ? 0 : 1,
                 running ? 1 : 0,
                 openJob == null ? 0 : Math.round(openJob.share() * 100),
@@ -132,17 +132,17 @@
         boolean scheduled = false;
         for (Function function : front.functions.functions()) {
             String key = uniqueKey(function, packet.text(0));
-            openJob = openJob == null ? front.core.entryOf(key) : openJob;
+            openJob = openJob == null ? front.core.findJobByUniqueKey(key) : openJob;
             scheduled |= front.schedule.findByUnique(key) != null
                     || front.fleetJobs != null
                             && front.fleetJobs.fleet().planned(function.name, packet.text(0)) != null;
         }
         for (Function function : front.fleetOrders == null ? List.<Function>of() : front.functions.functions()) {
-            Ledger.Known order = front.fleetOrders.find(function.name, packet.text(0));
+            Ledger.OrderStatus order = front.fleetOrders.find(function.name, packet.text(0));
             if (order != null) {
                 connection.write(
                         Type.STATUS_RES_UNIQUE,
-                        packet.parts().get(0),
+                        packet.arguments().get(0),
                         order.ended() ? 0 : 1,
                         order.stage() == Ledger.Stage.OUT ? 1 : 0,
                         Math.round(front.fleetOrders.progressOf(order.id()) * 100),
@@ -154,7 +154,7 @@
         boolean running = openJob != null && openJob.running();
         connection.write(
                 Type.STATUS_RES_UNIQUE,
-                packet.parts().get(0),
+                packet.arguments().get(0),
                 openJob == null && !scheduled ? 0 : 1,
                 running ? 1 : 0,
                 openJob == null ? 0 : Math.round(openJob.share() * 100),
@@ -176,7 +176,7 @@
     }
 
     /** Makes the job of a packet whose data is the given argument, or rejects it and returns null. */
-    private JobRequest newJobRequest(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
+    private JobSpec newJobRequest(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
         String name = packet.text(0);
         Function function = front.functions.findOrAdd(name);
         if (function == null) {
@@ -191,7 +191,7 @@
             reject("stopping", "this scheduler takes no more jobs");
             return null;
         }
-        ByteBuffer data = packet.parts().get(dataIndex);
+        ByteBuffer data = packet.arguments().get(dataIndex);
         String unique = packet.text(1);
         if (unique.length() > MAX_UNIQUE_LENGTH) {
             reject("unique_too_long", "a unique key of more than " + MAX_UNIQUE_LENGTH + " characters");
@@ -201,7 +201,7 @@
         double patienceMs = inBackground
                 ? front.config.backgroundMs()
                 : front.settings.classes().get(function.classIndex).deadlineMs();
-        return new JobRequest(
+        return new JobSpec(
                 front.newId(),
                 function.classIndex,
                 null,
@@ -214,7 +214,7 @@
                 null,
                 false,
                 clientKey.isEmpty() ? null : uniqueKey(function, clientKey),
-                new JobRequest.Work(
+                new JobSpec.Work(
                         function.kind,
                         function.name,
                         clientKey.isEmpty() ? null : clientKey,
@@ -224,7 +224,7 @@
     }
 
     private void submit(Packet packet, int dataIndex, String reducer, int priority, boolean inBackground) {
-        JobRequest request = newJobRequest(packet, dataIndex, reducer, priority, inBackground);
+        JobSpec request = newJobRequest(packet, dataIndex, reducer, priority, inBackground);
         if (request == null) {
             return;
         }
@@ -246,7 +246,7 @@
             return;
         }
         Fleet.Job planned = front.fleetJobs == null ? null : front.fleetJobs.findByKey(request);
-        if (planned != null && (request.unique() == null || front.core.entryOf(request.unique()) == null)) {
+        if (planned != null && (request.unique() == null || front.core.findJobByUniqueKey(request.unique()) == null)) {
             if (inBackground) {
                 connection.write(Type.JOB_CREATED, planned.id());
             } else {
@@ -260,15 +260,16 @@
             return;
         }
         boolean joins = request.unique() != null
-                && (front.core.entryOf(request.unique()) != null || front.core.keeps(request.unique()));
+                && (front.core.findJobByUniqueKey(request.unique()) != null
+                        || front.core.isOutcomeKept(request.unique()));
         if (!joins && rejectIfFull(request)) {
             return;
         }
         Submission submission = new Submission(inBackground ? null : this, front.handleOf(request.id()));
         awaited.add(submission);
-        OpenJob openJob = front.core.take(request, submission);
+        OpenJob openJob = front.core.submit(request, submission);
         if (openJob != null) {
-            submission.handle = front.handleOf(openJob.sheet().id());
+            submission.handle = front.handleOf(openJob.spec().id());
         }
         submission.openJob = openJob;
         submission.announce(connection);
@@ -282,8 +283,8 @@
      * Submits a covered order. The client is answered once the fleet's ledger has accepted the order; a resubmitted
      * order joins the existing one or gets its outcome.
      */
-    private void submitOrder(JobRequest request, boolean inBackground) {
-        Ledger.Known existing =
+    private void submitOrder(JobSpec request, boolean inBackground) {
+        Ledger.OrderStatus existing =
                 front.fleetOrders.find(request.work().name(), request.work().unique());
         if (existing != null) {
             joinOrder(existing.id(), request, inBackground);
@@ -292,9 +293,9 @@
             front.fleetOrders.submit(request, inBackground, answer -> {
                 awaitingFleet = false;
                 if (answer.agreed()) {
-                    joinOrder(answer.words(), request, inBackground);
+                    joinOrder(answer.detail(), request, inBackground);
                 } else {
-                    reject(answer.known() && answer.words().contains("full") ? "full" : "fleet", answer.words());
+                    reject(answer.known() && answer.detail().contains("full") ? "full" : "fleet", answer.detail());
                 }
                 processDeferred();
             });
@@ -302,7 +303,7 @@
     }
 
     /** Answers JOB_CREATED and, for a foreground job, waits for the order's outcome. */
-    private void joinOrder(String handle, JobRequest request, boolean inBackground) {
+    private void joinOrder(String handle, JobSpec request, boolean inBackground) {
         Submission submission = new Submission(inBackground ? null : this, handle);
         submission.announce(connection);
         if (!inBackground) {
@@ -319,7 +320,7 @@
     }
 
     /** Rejects the job and returns true if a limit is reached; the ERROR packet names the limit. */
-    private boolean rejectIfFull(JobRequest request) {
+    private boolean rejectIfFull(JobSpec request) {
         Function function = front.functions.get(request.work().kind());
         int maxQueued = function.maxQueued[1 - request.work().priority()];
         long waitingAtPriority =
@@ -338,7 +339,7 @@
             reject("queue_full", function.name + ": limits.queue is " + maxInQueue);
         } else if (awaited.size() + openBackgroundJobs >= maxPerClient) {
             reject("jobs_per_client", "limits.jobsPerClient is " + maxPerClient);
-        } else if (!front.core.hasRoom(request.body().remaining())) {
+        } else if (!front.core.hasCapacity(request.body().remaining())) {
             reject("full", "limits.openJobs or limits.jobBytes is used up; try again after 1000 ms");
         } else {
             return false;
@@ -377,15 +378,15 @@
     }
 
     private void submitScheduled(Packet packet, int dataIndex, double atMs) {
-        JobRequest request = newJobRequest(packet, dataIndex, null, 0, true);
+        JobSpec request = newJobRequest(packet, dataIndex, null, 0, true);
         if (request == null) {
             return;
         }
-        OpenJob openJob = request.unique() == null ? null : front.core.entryOf(request.unique());
+        OpenJob openJob = request.unique() == null ? null : front.core.findJobByUniqueKey(request.unique());
         Schedule.Entry existing = request.unique() == null ? null : front.schedule.findByUnique(request.unique());
         String exhaustedLimit = front.schedule.exhaustedLimit(request.body().remaining());
         if (openJob != null) {
-            connection.write(Type.JOB_CREATED, front.handleOf(openJob.sheet().id())); // joins the open job
+            connection.write(Type.JOB_CREATED, front.handleOf(openJob.spec().id())); // joins the open job
         } else if (existing != null) {
             connection.write(Type.JOB_CREATED, front.handleOf(existing.request().id()));
         } else if (front.fleetJobs != null) {
@@ -393,9 +394,9 @@
             front.fleetJobs.plan(request, atMs, answer -> {
                 awaitingFleet = false;
                 if (answer.agreed()) {
-                    connection.write(Type.JOB_CREATED, answer.words());
+                    connection.write(Type.JOB_CREATED, answer.detail());
                 } else {
-                    reject(answer.known() ? "schedule_full" : "fleet", answer.words());
+                    reject(answer.known() ? "schedule_full" : "fleet", answer.detail());
                 }
                 processDeferred();
             });
@@ -432,7 +433,7 @@
     void onDisconnected() {
         for (Submission submission : new ArrayList<>(List.copyOf(awaited))) {
             if (submission.openJob != null) {
-                front.core.gone(submission.openJob, submission);
+                front.core.removeClient(submission.openJob, submission);
             } else if (front.fleetOrders != null) {
                 front.fleetOrders.stopWaiting(submission);
             }
--- a/src/main/java/plumpost/gearman/FleetJobs.java
+++ b/src/main/java/plumpost/gearman/FleetJobs.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import plumpost.decision.Dispatcher;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.OpenJob;
 import plumpost.dispatch.ReplyTo;
 import plumpost.gearman.FunctionTable.Function;
@@ -30,12 +30,13 @@
         return fleet;
     }
 
-    /** Plans a job with the fleet and passes on the fleet's answer. */
-    void plan(JobRequest request, double atMs, java.util.function.Consumer<Fleet.Said> onAnswer) {
+    /** Schedules a job with the fleet and passes on the fleet's answer. */
+    void plan(JobSpec request, double atMs, java.util.function.Consumer<Fleet.Reply> onAnswer) {
         byte[] body = new byte[request.body().remaining()];
         request.body().duplicate().get(body);
         String unique = request.work().unique();
-        boolean mayRunTwice = front.settings.classes().get(request.cls()).effect() != Dispatcher.Effect.SINGLE_SHOT;
+        boolean mayRunTwice =
+                front.settings.classes().get(request.classIndex()).effect() != Dispatcher.Effect.SINGLE_SHOT;
         fleet.plan(
                 new Fleet.Job(
                         front.handleOf(request.id()),
@@ -48,7 +49,7 @@
     }
 
     /** The planned job with the same function and unique key, or null. */
-    Fleet.Job findByKey(JobRequest request) {
+    Fleet.Job findByKey(JobSpec request) {
         return request.work().unique() == null
                 ? null
                 : fleet.planned(request.work().name(), request.work().unique());
@@ -57,12 +58,12 @@
     /** Submits a planned job to the core. Returns false if it cannot be accepted now. */
     boolean run(Fleet.Job job) {
         Function function = front.functions.findOrAdd(job.function());
-        if (function == null || front.stopping() || !front.core.hasRoom(job.body().length)) {
+        if (function == null || front.stopping() || !front.core.hasCapacity(job.body().length)) {
             return false;
         }
         String unique = job.unique().isEmpty() ? null : job.unique();
         double patienceMs = front.config.backgroundMs();
-        JobRequest request = new JobRequest(
+        JobSpec request = new JobSpec(
                 front.newId(),
                 function.classIndex,
                 null,
@@ -75,9 +76,9 @@
                 null,
                 false,
                 unique == null ? null : ClientSession.uniqueKey(function, unique),
-                new JobRequest.Work(function.kind, function.name, unique, null, 0, patienceMs));
+                new JobSpec.Work(function.kind, function.name, unique, null, 0, patienceMs));
         Reply reply = new Reply(job.id());
-        OpenJob openJob = front.core.take(request, reply);
+        OpenJob openJob = front.core.submit(request, reply);
         if (openJob != null && !reply.ended) {
             running.put(job.id(), openJob);
             replies.put(job.id(), reply);
@@ -91,7 +92,7 @@
         if (openJob != null) {
             Reply reply = replies.get(id);
             reply.unstarted = true;
-            reply.unstarted = front.core.callOff(openJob);
+            reply.unstarted = front.core.cancelIfNotRunning(openJob);
         }
     }
 
@@ -121,7 +122,7 @@
             ended = true;
             running.remove(id);
             replies.remove(id);
-            fleet.ended(id, neverRan);
+            fleet.onJobEnded(id, neverRan);
         }
 
         @Override
--- a/src/main/java/plumpost/gearman/FleetOrders.java
+++ b/src/main/java/plumpost/gearman/FleetOrders.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import plumpost.decision.Dispatcher.Effect;
 import plumpost.dispatch.Attempt;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.LeaseAuthority;
 import plumpost.dispatch.OpenJob;
 import plumpost.dispatch.ReplyTo;
@@ -42,12 +42,12 @@
     FleetOrders(GearmanFront front, Ledger ledger) {
         this.front = front;
         this.ledger = ledger;
-        ledger.at(this);
+        ledger.setHolder(this);
     }
 
     /** Whether the ledger covers the job's class. */
-    boolean covers(JobRequest request) {
-        return ledger.covers(front.settings.classes().get(request.cls()).name());
+    boolean covers(JobSpec request) {
+        return ledger.covers(front.settings.classes().get(request.classIndex()).name());
     }
 
     /** Whether a job in this core is a covered order, whose id is its handle. */
@@ -56,13 +56,13 @@
     }
 
     /** The order with this handle, or null if the ledger does not know it. */
-    Ledger.Known find(String id) {
-        return ledger.known(id);
+    Ledger.OrderStatus find(String id) {
+        return ledger.status(id);
     }
 
     /** The order with this function and unique key, or null if there is none. */
-    Ledger.Known find(String function, String unique) {
-        return unique == null ? null : ledger.known(function, unique);
+    Ledger.OrderStatus find(String function, String unique) {
+        return unique == null ? null : ledger.status(function, unique);
     }
 
     /** The share of the order that is done, from 0 to 1; 0 if it is not open here. */
@@ -74,11 +74,11 @@
     // ---- clients ----
 
     /** Submits an order to the fleet's ledger and passes on its answer. */
-    void submit(JobRequest request, boolean background, Consumer<Fleet.Said> onAnswer) {
+    void submit(JobSpec request, boolean background, Consumer<Fleet.Reply> onAnswer) {
         byte[] body = new byte[request.body().remaining()];
         request.body().duplicate().get(body);
         String unique = request.work().unique();
-        boolean mayRunTwice = front.settings.classes().get(request.cls()).effect() != Effect.SINGLE_SHOT;
+        boolean mayRunTwice = front.settings.classes().get(request.classIndex()).effect() != Effect.SINGLE_SHOT;
         ledger.take(
                 new Ledger.Order(
                         front.handleOf(request.id()),
@@ -97,14 +97,14 @@
      * time plus a grace period, the client is told that the job failed; the order goes on and its outcome is kept.
      */
     void await(Submission submission, double patienceMs) {
-        Ledger.Known order = ledger.known(submission.handle);
+        Ledger.OrderStatus order = ledger.status(submission.handle);
         if (order != null && order.ended()) {
             answer(submission, order);
         } else {
             waitingByHandle
                     .computeIfAbsent(submission.handle, id -> new ArrayList<>(1))
                     .add(submission);
-            front.context.wheel().at(front.context.clock().nowMs() + patienceMs + OUTCOME_GRACE_MS, () -> {
+            front.context.wheel().schedule(front.context.clock().nowMs() + patienceMs + OUTCOME_GRACE_MS, () -> {
                 if (stopWaiting(submission)) {
                     submission.failed();
                 }
@@ -122,7 +122,7 @@
         return waited;
     }
 
-    private static void answer(Submission submission, Ledger.Known order) {
+    private static void answer(Submission submission, Ledger.OrderStatus order) {
         switch (order.stage()) {
             case SERVED -> submission.served(ByteBuffer.wrap(order.result()));
             case REFUSED -> submission.refused(RETRY_AFTER_MS);
@@ -140,9 +140,9 @@
 
     /** Reports to the ledger a result for a job that does not run on this worker, if it is a known order. */
     void reportLateResult(String handle, ByteBuffer result) {
-        if (ledger.known(handle) != null) {
+        if (ledger.status(handle) != null) {
             front.context.counters().count("gearman.order_heard_late");
-            ledger.told(handle, Ledger.Word.DONE, copyOf(result));
+            ledger.report(handle, Ledger.Report.DONE, copyOf(result));
         }
     }
 
@@ -157,11 +157,11 @@
     @Override
     public boolean hold(Ledger.Order order) {
         Function function = front.functions.findOrAdd(order.function());
-        if (function == null || front.stopping() || !front.core.hasRoom(order.body().length)) {
+        if (function == null || front.stopping() || !front.core.hasCapacity(order.body().length)) {
             return false;
         }
         String unique = order.unique().isEmpty() ? null : order.unique();
-        JobRequest request = new JobRequest(
+        JobSpec request = new JobSpec(
                 order.id(),
                 function.classIndex,
                 null,
@@ -174,7 +174,7 @@
                 null,
                 false,
                 null,
-                new JobRequest.Work(
+                new JobSpec.Work(
                         function.kind,
                         function.name,
                         unique,
@@ -183,7 +183,7 @@
                         order.background() ? order.patienceMs() : Double.NaN));
         Reply reply = new Reply(order.id(), order.background());
         replies.put(order.id(), reply);
-        OpenJob openJob = front.core.take(request, reply, this);
+        OpenJob openJob = front.core.submit(request, reply, this);
         if (openJob != null && !reply.ended) {
             openOrders.put(order.id(), openJob);
         }
@@ -195,12 +195,12 @@
         OpenJob openJob = openOrders.get(id);
         if (openJob != null) {
             replies.get(id).silent = true;
-            front.core.callOff(openJob);
+            front.core.cancelIfNotRunning(openJob);
         }
     }
 
     @Override
-    public void ended(Ledger.Known order) {
+    public void ended(Ledger.OrderStatus order) {
         List<Submission> submissions = waitingByHandle.remove(order.id());
         if (submissions != null) {
             submissions.forEach(submission -> answer(submission, order));
@@ -208,29 +208,29 @@
     }
 
     @Override
-    public int room() {
+    public int capacity() {
         return front.stopping() ? 0 : MAX_OPEN_ORDERS - openOrders.size();
     }
 
     // ---- LeaseAuthority ----
 
     @Override
-    public void ask(Attempt attempt, Consumer<Boolean> onGranted) {
-        ledger.lease(attempt.sheet().id(), onGranted);
+    public void requestLease(Attempt attempt, Consumer<Boolean> onGranted) {
+        ledger.lease(attempt.spec().id(), onGranted);
     }
 
     @Override
-    public void unused(Attempt attempt) {
-        ledger.told(attempt.sheet().id(), Ledger.Word.HANDED_BACK, new byte[0]);
+    public void leaseNotUsed(Attempt attempt) {
+        ledger.report(attempt.spec().id(), Ledger.Report.HANDED_BACK, new byte[0]);
     }
 
     /** An attempt that never ran is tried again; one that may have run only if its class allows it to run twice. */
     @Override
     public void ended(Attempt attempt, boolean neverRan) {
         if (neverRan) {
-            unused(attempt);
+            leaseNotUsed(attempt);
         } else if (attempt.jobClass().effect() == Effect.FREE) {
-            ledger.tryAgain(attempt.sheet().id());
+            ledger.tryAgain(attempt.spec().id());
         }
     }
 
@@ -248,33 +248,33 @@
             this.background = background;
         }
 
-        private void end(Ledger.Word outcome, byte[] result) {
+        private void end(Ledger.Report outcome, byte[] result) {
             ended = true;
             openOrders.remove(id);
             replies.remove(id);
             if (!silent) {
-                ledger.told(id, outcome, result);
+                ledger.report(id, outcome, result);
             }
         }
 
         @Override
         public void served(ByteBuffer result) {
-            end(Ledger.Word.DONE, copyOf(result));
+            end(Ledger.Report.DONE, copyOf(result));
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            end(background ? Ledger.Word.RELEASED : Ledger.Word.GIVEN_UP, new byte[0]);
+            end(background ? Ledger.Report.RELEASED : Ledger.Report.GIVEN_UP, new byte[0]);
         }
 
         @Override
         public void failed() {
-            end(Ledger.Word.STALLED, new byte[0]);
+            end(Ledger.Report.STALLED, new byte[0]);
         }
 
         @Override
         public void failed(ByteBuffer reason) {
-            end(Ledger.Word.FAILED, copyOf(reason));
+            end(Ledger.Report.FAILED, copyOf(reason));
         }
 
         @Override
--- a/src/main/java/plumpost/gearman/FunctionTable.java
+++ b/src/main/java/plumpost/gearman/FunctionTable.java
@@ -60,7 +60,7 @@
                 : rules.stream()
                         .filter(rule -> rule.match().matcher(name).matches())
                         .findFirst()
-                        .map(rule -> add(name, rule.cls()))
+                        .map(rule -> add(name, rule.classIndex()))
                         .orElse(null);
     }
 
--- a/src/main/java/plumpost/gearman/GearmanConnection.java
+++ b/src/main/java/plumpost/gearman/GearmanConnection.java
@@ -44,7 +44,7 @@
     void write(Type type, Object... arguments) {
         if (!closed) {
             front.context.counters().count(type.outCounter);
-            connection.write(Packet.bytes(Packet.RESPONSE, type, arguments));
+            connection.write(Packet.encode(Packet.RESPONSE, type, arguments));
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void bytes(ByteBuffer input) {
+    public void received(ByteBuffer input) {
         hasReceivedBytes = true;
         reading = true;
         try {
@@ -100,7 +100,7 @@
     /** Reads what the socket holds, including its end, unless a read is running already. */
     void readAvailable() {
         if (!closed && !reading) {
-            connection.look();
+            connection.readAvailable();
         }
     }
 
@@ -195,7 +195,7 @@
                 }
                 client.onPacket(packet);
             }
-            case ECHO_REQ -> write(Type.ECHO_RES, packet.parts().get(0));
+            case ECHO_REQ -> write(Type.ECHO_RES, packet.arguments().get(0));
             case SET_CLIENT_ID -> setClientId(packet.text(0));
             case ALL_YOURS -> {} // changes nothing: a worker of this one server gets its jobs in the same way
             case CAN_DO,
--- a/src/main/java/plumpost/gearman/GearmanFront.java
+++ b/src/main/java/plumpost/gearman/GearmanFront.java
@@ -12,7 +12,7 @@
 import plumpost.decision.Dispatcher;
 import plumpost.decision.Dispatcher.ListMode;
 import plumpost.dispatch.DispatchCore;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.ListedNode;
 import plumpost.dispatch.NodeList;
 import plumpost.front.Front;
@@ -87,7 +87,7 @@
         adminCommands = new AdminCommands(this, version);
         readBudget = new PacketReader.Budget(config.limits().readingBytes());
         core.add(this);
-        context.wheel().at(context.clock().nowMs() + SLOW_CHECK_INTERVAL_MS, this::closeSlowConnections);
+        context.wheel().schedule(context.clock().nowMs() + SLOW_CHECK_INTERVAL_MS, this::closeSlowConnections);
     }
 
     @Override
@@ -113,7 +113,7 @@
     /** Goes on accepting jobs on open connections for as long as the HTTP front still accepts new clients, then stops. */
     @Override
     public void stop(double receivedAtMs, double newClientsMs) {
-        context.wheel().at(receivedAtMs + newClientsMs, this::refuseNewJobs);
+        context.wheel().schedule(receivedAtMs + newClientsMs, this::refuseNewJobs);
     }
 
     /**
@@ -126,10 +126,10 @@
             fleetJobs.recallAll();
         }
         long lostJobs = schedule.entries().size()
-                + core.drop(openJob -> openJob.sheet().work().name() != null
+                + core.cancelMatching(openJob -> openJob.spec().work().name() != null
                         && openJob.background()
                         && (fleetOrders == null
-                                || !fleetOrders.isOpen(openJob.sheet().id())));
+                                || !fleetOrders.isOpen(openJob.spec().id())));
         context.counters().add("gearman.lost_at_stop", lostJobs);
         if (lostJobs > 0) {
             context.log()
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public boolean quiet() {
+    public boolean isIdle() {
         return connections.stream().allMatch(c -> c.connection.flushed());
     }
 
@@ -169,7 +169,7 @@
     }
 
     void reportNode(ListedNode node) {
-        core.listed(this, ListMode.INCREMENTAL, List.of(node));
+        core.applyList(this, ListMode.INCREMENTAL, List.of(node));
     }
 
     void removeConnection(GearmanConnection connection) {
@@ -178,14 +178,14 @@
 
     // ---- the fleet ----
 
-    /** Plans scheduled jobs with a fleet from now on, and hands its covered orders to its ledger if it has one. */
-    public void in(Fleet joinedFleet) {
+    /** Passes scheduled jobs to a fleet from now on, and hands its covered orders to its ledger if it has one. */
+    public void joinFleet(Fleet joinedFleet) {
         fleetJobs = new FleetJobs(this, joinedFleet);
         fleetOrders = joinedFleet.ledger() == null ? null : new FleetOrders(this, joinedFleet.ledger());
     }
 
     /** Returns the names of the functions that have workers here. */
-    public List<String> served() {
+    public List<String> servedFunctions() {
         return functions.functions().stream()
                 .filter(function -> function.workers > 0)
                 .map(function -> function.name)
@@ -198,13 +198,13 @@
     }
 
     /** Cancels a planned job that is no longer this scheduler's, unless a worker has it. */
-    public void callBack(String id) {
+    public void recallPlanned(String id) {
         fleetJobs.recall(id);
     }
 
     // ---- scheduled jobs ----
 
-    void scheduleJob(JobRequest request, double atMs) {
+    void scheduleJob(JobSpec request, double atMs) {
         schedule.add(request, atMs);
         startScheduleTimer(atMs);
     }
@@ -218,7 +218,7 @@
                 ? unixMs
                 : Math.min(unixMs, schedule.entries().iterator().next().atMs());
         double waitMs = Math.max(0, Math.min(context.unixTime().untilMs(firstUnixMs), MAX_TIMER_MS));
-        scheduleTimer = context.wheel().at(context.clock().nowMs() + waitMs, this::submitDueJobs);
+        scheduleTimer = context.wheel().schedule(context.clock().nowMs() + waitMs, this::submitDueJobs);
     }
 
     /** Submits the scheduled jobs that are due, while there is room for them. */
@@ -229,14 +229,14 @@
                 entry != null && !stopping;
                 entry = schedule.firstDue(nowUnixMs)) {
             boolean joinsOpenJob = entry.request().unique() != null
-                    && core.entryOf(entry.request().unique()) != null;
-            if (!joinsOpenJob && !core.hasRoom(entry.request().body().remaining())) {
+                    && core.findJobByUniqueKey(entry.request().unique()) != null;
+            if (!joinsOpenJob && !core.hasCapacity(entry.request().body().remaining())) {
                 context.counters().count("gearman.schedule_waits");
                 startScheduleTimer(nowUnixMs + FULL_RETRY_MS);
                 return;
             }
             schedule.remove(entry);
-            core.take(
+            core.submit(
                     entry.request(),
                     new Submission(null, handleOf(entry.request().id())));
         }
@@ -257,7 +257,7 @@
             if (candidate.silentMs(nowMs) > SILENT_GRACE_MS) {
                 context.counters().count("gearman.shed");
                 connections.remove(candidate);
-                candidate.connection.cut();
+                candidate.connection.closeNow();
                 return true;
             }
         }
@@ -273,6 +273,6 @@
                 connection.error("timeout", "too slow");
             }
         }
-        context.wheel().at(nowMs + SLOW_CHECK_INTERVAL_MS, this::closeSlowConnections);
+        context.wheel().schedule(nowMs + SLOW_CHECK_INTERVAL_MS, this::closeSlowConnections);
     }
 }
--- a/src/main/java/plumpost/gearman/Packet.java
+++ b/src/main/java/plumpost/gearman/Packet.java
@@ -10,9 +10,9 @@
  * One packet of Gearman's binary protocol.
  *
  * @param type the packet type
- * @param parts the arguments, as many as the type has
+ * @param arguments the arguments, as many as the type has
  */
-public record Packet(Type type, List<ByteBuffer> parts) {
+public record Packet(Type type, List<ByteBuffer> arguments) {
 
     /** Packet types, each with its number in the protocol and the number of its arguments. */
     public enum Type {
@@ -79,12 +79,12 @@
         }
 
         /** Returns how many arguments a packet of this type has. */
-        public int arguments() {
+        public int argumentCount() {
             return argumentCount;
         }
 
         /** Returns the type with this number, or null. */
-        public static Type of(int code) {
+        public static Type forCode(int code) {
             return BY_CODE.get(code);
         }
     }
@@ -96,14 +96,14 @@
 
     /** Returns an argument decoded as UTF-8. */
     public String text(int index) {
-        return StandardCharsets.UTF_8.decode(parts.get(index).duplicate()).toString();
+        return StandardCharsets.UTF_8.decode(arguments.get(index).duplicate()).toString();
     }
 
     /** Data of more bytes than this is not copied but written from a buffer of its own. */
     private static final int MAX_COPIED_BYTES = 1024;
 
     /** Encodes a packet into buffers to be written in order: one, and a second if its last argument is large data. */
-    public static ByteBuffer[] bytes(int magic, Type type, Object... arguments) {
+    public static ByteBuffer[] encode(int magic, Type type, Object... arguments) {
         Object last = arguments.length == 0 ? null : arguments[arguments.length - 1];
         ByteBuffer data =
                 last instanceof ByteBuffer buffer && buffer.remaining() > MAX_COPIED_BYTES ? buffer.duplicate() : null;
--- a/src/main/java/plumpost/gearman/PacketReader.java
+++ b/src/main/java/plumpost/gearman/PacketReader.java
@@ -194,7 +194,7 @@
     private void readHeader() throws BadPacket {
         ByteBuffer fields = ByteBuffer.wrap(header);
         int receivedMagic = fields.getInt();
-        type = Packet.Type.of(fields.getInt());
+        type = Packet.Type.forCode(fields.getInt());
         bodySize = fields.getInt();
         bodyReceived = 0;
         if (receivedMagic != magic || type == null || bodySize < 0) {
--- a/src/main/java/plumpost/gearman/Schedule.java
+++ b/src/main/java/plumpost/gearman/Schedule.java
@@ -9,12 +9,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeSet;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 
 /** Jobs that wait for their start time, bounded in number and bytes; does no I/O and reads no clock. */
 final class Schedule {
     /** A job, its start time in Unix milliseconds, and a sequence number that orders jobs of the same time. */
-    record Entry(JobRequest request, double atMs, long sequence) {}
+    record Entry(JobSpec request, double atMs, long sequence) {}
 
     private final int maxJobs;
     private final long maxBytes;
@@ -37,7 +37,7 @@
                 : bytes + dataBytes > maxBytes ? "limits.scheduledBytes " + maxBytes : null;
     }
 
-    void add(JobRequest request, double atMs) {
+    void add(JobSpec request, double atMs) {
         Entry entry = new Entry(request, atMs, nextSequence++);
         byTime.add(entry);
         byId.put(request.id(), entry);
--- a/src/main/java/plumpost/gearman/Submission.java
+++ b/src/main/java/plumpost/gearman/Submission.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void look() {
+    public void pollConnection() {
         if (client != null) {
             client.readAvailable();
         }
--- a/src/main/java/plumpost/gearman/WorkerSession.java
+++ b/src/main/java/plumpost/gearman/WorkerSession.java
@@ -11,7 +11,7 @@
 import plumpost.decision.Dispatcher.Phase;
 import plumpost.decision.Dispatcher.WorkerEntry;
 import plumpost.dispatch.Attempt;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.ListedNode;
 import plumpost.dispatch.NodeLink;
 import plumpost.dispatch.Probe;
@@ -101,7 +101,7 @@
             if (delayMs > 0) {
                 front.context.counters().count("gearman.flapping");
                 withheld = true;
-                front.context.wheel().at(front.context.clock().nowMs() + delayMs, () -> {
+                front.context.wheel().schedule(front.context.clock().nowMs() + delayMs, () -> {
                     withheld = false;
                     if (!lost) {
                         reportNode();
@@ -128,25 +128,25 @@
             case WORK_STATUS -> onStatus(packet);
             case WORK_DATA -> {
                 if (acceptReport(packet, false)) {
-                    running.part(packet.parts().get(1));
+                    running.part(packet.arguments().get(1));
                 }
             }
             case WORK_WARNING -> {
                 if (acceptReport(packet, false)) {
-                    running.warned(packet.parts().get(1));
+                    running.warned(packet.arguments().get(1));
                 }
             }
             case WORK_COMPLETE -> {
                 if (acceptReport(packet, true)) {
-                    clearRunning().served(packet.parts().get(1), null);
+                    clearRunning().served(packet.arguments().get(1), null);
                 } else if (front.fleetOrders != null) {
                     front.fleetOrders.reportLateResult(
-                            packet.text(0), packet.parts().get(1));
+                            packet.text(0), packet.arguments().get(1));
                 }
             }
             case WORK_EXCEPTION -> {
                 if (acceptReport(packet, true)) {
-                    clearRunning().failed(packet.parts().get(1), null);
+                    clearRunning().failed(packet.arguments().get(1), null);
                 }
             }
             default -> { // WORK_FAIL
@@ -190,7 +190,7 @@
             function.workers--;
             reportNode();
             for (Attempt attempt : List.copyOf(queued)) {
-                if (attempt.sheet().work().kind() == function.kind) {
+                if (attempt.spec().work().kind() == function.kind) {
                     queued.remove(attempt);
                     attempt.ended(Ending.FULL, null);
                 }
@@ -261,7 +261,7 @@
             // Holds the answer back: a job that arrives in this time needs no sleep and no wake-up.
             noJobTimer = front.context
                     .wheel()
-                    .at(front.context.clock().nowMs() + front.config.grabHoldMs(), this::answerNoJob);
+                    .schedule(front.context.clock().nowMs() + front.config.grabHoldMs(), this::answerNoJob);
         } else {
             answerNoJob();
         }
@@ -274,7 +274,7 @@
             return;
         }
         Type type = openGrab;
-        if (attempt.sheet().work().reducer() != null && type != Type.GRAB_JOB_ALL) {
+        if (attempt.spec().work().reducer() != null && type != Type.GRAB_JOB_ALL) {
             // Only JOB_ASSIGN_ALL carries the reducer's name; without it the worker would run a different job.
             front.context.counters().count("gearman.reducer_not_grabbed");
             answerNoJob();
@@ -302,7 +302,7 @@
 
     /** Assigns an attempt to the worker, in the packet that answers its type of grab. */
     private void assign(Type type, Attempt attempt) {
-        JobRequest request = attempt.sheet();
+        JobSpec request = attempt.spec();
         running = attempt;
         busy = true;
         if (grabTimer != null) { // else it would fire during a later sleep
@@ -325,10 +325,11 @@
                         request.work().reducer() == null ? "" : request.work().reducer(),
                         request.body());
         }
-        attempt.whole(); // the connection has the whole job, and delays its write to the end of the loop's turn at most
+        attempt.fullySent(); // the connection has the whole job, and delays its write to the end of the loop's turn at
+        // most
         double timeoutMs = timeoutsMs.getOrDefault(function, 0.0);
         if (timeoutMs > 0) {
-            front.context.wheel().at(front.context.clock().nowMs() + timeoutMs, () -> {
+            front.context.wheel().schedule(front.context.clock().nowMs() + timeoutMs, () -> {
                 if (running == attempt) {
                     running = null;
                     reportNodeIfChanged();
@@ -353,7 +354,9 @@
             connection.write(Type.NOOP);
         }
         if (grabTimer == null) {
-            grabTimer = front.context.wheel().at(front.context.clock().nowMs() + GRAB_TIMEOUT_MS, this::onGrabTimeout);
+            grabTimer = front.context
+                    .wheel()
+                    .schedule(front.context.clock().nowMs() + GRAB_TIMEOUT_MS, this::onGrabTimeout);
         }
     }
 
@@ -403,7 +406,7 @@
         if (lost
                 || reportedPhase != Phase.SERVING
                 || !timeoutsMs.containsKey(
-                        front.functions.get(attempt.sheet().work().kind()))) {
+                        front.functions.get(attempt.spec().work().kind()))) {
             attempt.ended(Ending.FULL, null);
             return;
         }
@@ -434,5 +437,5 @@
     }
 
     @Override
-    public void leave() {}
+    public void closeIdle() {}
 }
--- a/src/main/java/plumpost/http/Answers.java
+++ b/src/main/java/plumpost/http/AnswerEncoder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Encodes the heads of HTTP answers, and text as bytes. */
-public final class Answers {
+public final class AnswerEncoder {
     private static final Map<Integer, String> REASONS = Map.of(
             200,
             "OK",
@@ -28,7 +28,7 @@
             503,
             "Service Unavailable");
 
-    private Answers() {}
+    private AnswerEncoder() {}
 
     /** Returns the head of an answer with a body of the given length; {@code fields} are complete header lines with CR LF. */
     public static ByteBuffer head(int status, int length, boolean close, String fields) {
--- a/src/main/java/plumpost/http/AnswerReader.java
+++ b/src/main/java/plumpost/http/AnswerReader.java
@@ -16,14 +16,14 @@
     }
 
     /** Consumes bytes up to the end of the answer; returns true once it is complete. */
-    public boolean feed(ByteBuffer received) throws BadMessage {
+    public boolean feed(ByteBuffer received) throws BadMessageException {
         while (bodyReader == null) {
             if (!head.feed(received)) {
                 return false;
             }
             String code = head.startLinePart(1);
             if (!head.startLinePart(0).startsWith("HTTP/1.") || !code.matches("[1-5][0-9][0-9]")) {
-                throw new BadMessage(502, "malformed status line");
+                throw new BadMessageException(502, "malformed status line");
             }
             status = Integer.parseInt(code);
             if (status < 200) {
@@ -38,7 +38,7 @@
     }
 
     /** Handles the end of the connection; returns true if that completes an answer without a stated length. */
-    public boolean end() {
+    public boolean endOfStream() {
         if (bodyReader != null && endsWithConnection) {
             bodyReader.endOfStream();
             return true;
@@ -70,7 +70,7 @@
      * Removes the next whole line from the buffered body and returns it without its line feed, or null if there is none yet. At
      * the end of the body the rest counts as a line.
      */
-    public byte[] line() {
+    public byte[] nextLine() {
         ByteBuffer buffered = bodyReader.bytes();
         for (int i = 0; i < buffered.remaining(); i++) {
             if (buffered.get(i) == '\n') {
@@ -83,7 +83,7 @@
     }
 
     /** Removes the buffered part of the body and returns it. */
-    public byte[] take() {
+    public byte[] takeBody() {
         int length = bodyReader.bytes().remaining();
         return copyAndDiscard(length, length);
     }
@@ -96,12 +96,12 @@
     }
 
     /** Returns whether the connection can carry another request after this answer. */
-    public boolean keeps() {
-        return !endsWithConnection && !head.closes(head.startLinePart(0));
+    public boolean keepsConnection() {
+        return !endsWithConnection && !head.closesConnection(head.startLinePart(0));
     }
 
     /** Prepares for the next answer. */
-    public void next() {
+    public void reset() {
         head = new Head();
         bodyReader = null;
     }
--- a/src/main/java/plumpost/http/BodyReader.java
+++ b/src/main/java/plumpost/http/BodyReader.java
@@ -30,13 +30,13 @@
     private int length;
 
     /** Creates a reader for a body of {@code framing} bytes; -2 stands for chunks, Long.MAX_VALUE for the connection's end. */
-    BodyReader(long framing, int maxBytes) throws BadMessage {
+    BodyReader(long framing, int maxBytes) throws BadMessageException {
         this.maxBytes = maxBytes;
         chunked = framing == -2;
         remaining = chunked ? 0 : framing;
         step = chunked ? Step.SIZE : framing == 0 ? Step.DONE : Step.DATA;
         if (framing > maxBytes && framing != Long.MAX_VALUE) {
-            throw new BadMessage(413, "body too large");
+            throw new BadMessageException(413, "body too large");
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Consumes the bytes that belong to the body; returns true once it is complete. */
-    boolean feed(ByteBuffer received) throws BadMessage {
+    boolean feed(ByteBuffer received) throws BadMessageException {
         while (step != Step.DONE && received.hasRemaining()) {
             if (step == Step.DATA) {
                 readData(received);
@@ -74,10 +74,10 @@
         return complete();
     }
 
-    private void readData(ByteBuffer received) throws BadMessage {
+    private void readData(ByteBuffer received) throws BadMessageException {
         int count = (int) Math.min(remaining, received.remaining());
         if (length + count > maxBytes) {
-            throw new BadMessage(413, "body too large");
+            throw new BadMessageException(413, "body too large");
         }
         if (length + count > buffer.length) {
             long capacity = chunked || remaining == Long.MAX_VALUE ? 2L * (length + count) : length + remaining;
@@ -91,7 +91,7 @@
         }
     }
 
-    private void readFraming(byte next) throws BadMessage {
+    private void readFraming(byte next) throws BadMessageException {
         switch (step) {
             case SIZE -> {
                 int digit = next < 0 ? -1 : Character.digit((char) next, 16);
@@ -101,12 +101,12 @@
                 } else if (sizeDigits > 0 && (next == '\r' || next == ';' || next == ' ')) {
                     step = next == '\r' ? Step.SIZE_END : Step.EXTENSION;
                 } else {
-                    throw new BadMessage(400, "malformed chunk size");
+                    throw new BadMessageException(400, "malformed chunk size");
                 }
             }
             case EXTENSION -> {
                 if (++trailerBytes > MAX_TRAILER_BYTES || next == '\n') {
-                    throw new BadMessage(400, "malformed chunk extension");
+                    throw new BadMessageException(400, "malformed chunk extension");
                 }
                 step = next == '\r' ? Step.SIZE_END : step;
             }
@@ -125,7 +125,7 @@
             }
             case TRAILER -> {
                 if (++trailerBytes > MAX_TRAILER_BYTES) {
-                    throw new BadMessage(431, "trailer too large");
+                    throw new BadMessageException(431, "trailer too large");
                 }
                 if (next == '\r') {
                     step = Step.TRAILER_END;
@@ -141,9 +141,9 @@
         }
     }
 
-    private static void expect(byte actual, char expected) throws BadMessage {
+    private static void expect(byte actual, char expected) throws BadMessageException {
         if (actual != expected) {
-            throw new BadMessage(400, "malformed chunk");
+            throw new BadMessageException(400, "malformed chunk");
         }
     }
 }
--- a/src/main/java/plumpost/http/Head.java
+++ b/src/main/java/plumpost/http/Head.java
@@ -43,12 +43,12 @@
     private boolean complete;
 
     /** Consumes bytes up to the end of the head; returns true once it is complete. */
-    boolean feed(ByteBuffer received) throws BadMessage {
+    boolean feed(ByteBuffer received) throws BadMessageException {
         while (!complete && received.hasRemaining()) {
             byte next = received.get();
             if (length == bytes.length) {
                 if (length >= MAX_BYTES) {
-                    throw new BadMessage(431, "head too large");
+                    throw new BadMessageException(431, "head too large");
                 }
                 bytes = Arrays.copyOf(bytes, Math.min(MAX_BYTES, 2 * length));
             }
@@ -60,11 +60,11 @@
         return complete;
     }
 
-    private void endLine() throws BadMessage {
+    private void endLine() throws BadMessageException {
         int from = lineStart;
         int to = length - 2;
         if (to < from || bytes[to] != '\r') {
-            throw new BadMessage(400, "a line ends without CR LF");
+            throw new BadMessageException(400, "a line ends without CR LF");
         }
         lineStart = length;
         if (startEnd < 0) {
@@ -81,28 +81,28 @@
         }
     }
 
-    private void parseStartLine(int from, int to) throws BadMessage {
+    private void parseStartLine(int from, int to) throws BadMessageException {
         startEnd = to;
         firstSpace = find((byte) ' ', from, to);
         secondSpace = firstSpace < 0 ? -1 : find((byte) ' ', firstSpace + 1, to);
         if (firstSpace <= from) {
-            throw new BadMessage(400, "malformed start line");
+            throw new BadMessageException(400, "malformed start line");
         }
         for (int i = from; i < to; i++) {
             if (bytes[i] < ' ' || bytes[i] == 127) {
-                throw new BadMessage(400, "a control character in the start line");
+                throw new BadMessageException(400, "a control character in the start line");
             }
         }
     }
 
-    private void field(int from, int to) throws BadMessage {
+    private void field(int from, int to) throws BadMessageException {
         int colon = find((byte) ':', from, to);
         if (colon <= from) {
-            throw new BadMessage(400, "a field without a name");
+            throw new BadMessageException(400, "a field without a name");
         }
         for (int i = from; i < colon; i++) {
             if (bytes[i] < 0 || !TOKEN_CHARACTERS[bytes[i]]) {
-                throw new BadMessage(400, "malformed field name");
+                throw new BadMessageException(400, "malformed field name");
             }
         }
         int start = colon + 1;
@@ -115,11 +115,11 @@
         }
         for (int i = start; i < end; i++) {
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 127) {
-                throw new BadMessage(400, "a control character in a field");
+                throw new BadMessageException(400, "a control character in a field");
             }
         }
         if (fieldCount == MAX_FIELDS) {
-            throw new BadMessage(431, "too many fields");
+            throw new BadMessageException(431, "too many fields");
         }
         int offset = 4 * fieldCount++;
         fieldOffsets[offset] = from;
@@ -170,7 +170,7 @@
     }
 
     /** Returns the value of the only field with a name, or null if there is none or more than one. */
-    public String only(String name) {
+    public String singleField(String name) {
         int i = indexOfField(name, 0);
         return i < 0 || indexOfField(name, i + 1) >= 0 ? null : value(i);
     }
@@ -199,7 +199,7 @@
     }
 
     /** Returns whether a comma-separated field with this name contains a token, ignoring case. */
-    public boolean lists(String name, String token) {
+    public boolean hasToken(String name, String token) {
         for (int i = indexOfField(name, 0); i >= 0; i = indexOfField(name, i + 1)) {
             for (String part : value(i).split(",")) {
                 if (part.strip().equalsIgnoreCase(token)) {
@@ -211,19 +211,19 @@
     }
 
     /** Returns whether the sender closes the connection after this message. */
-    public boolean closes(String version) {
-        return version.equals("HTTP/1.0") || lists("Connection", "close");
+    public boolean closesConnection(String version) {
+        return version.equals("HTTP/1.0") || hasToken("Connection", "close");
     }
 
     /**
      * Returns the field lines to forward with the message, unchanged. Hop-by-hop and framing fields are left out, and so are
      * the given names in lower case, which the forwarder writes itself.
      */
-    public String passedOn(Set<String> excluded) {
+    public String forwardedFields(Set<String> excluded) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < fieldCount; i++) {
             String name = text(fieldOffsets[4 * i], fieldOffsets[4 * i + 1]).toLowerCase(Locale.ROOT);
-            if (!HOP_BY_HOP_FIELDS.contains(name) && !excluded.contains(name) && !lists("Connection", name)) {
+            if (!HOP_BY_HOP_FIELDS.contains(name) && !excluded.contains(name) && !hasToken("Connection", name)) {
                 text.append(text(fieldOffsets[4 * i], fieldOffsets[4 * i + 3])).append("\r\n");
             }
         }
@@ -231,16 +231,16 @@
     }
 
     /** Returns the length of the body by the framing fields: -1 without such a field, -2 for chunks. */
-    long framing() throws BadMessage {
+    long framing() throws BadMessageException {
         int lengthField = indexOfField("Content-Length", 0);
         int codingField = indexOfField("Transfer-Encoding", 0);
         if (codingField >= 0) {
             if (lengthField >= 0) {
-                throw new BadMessage(400, "conflicting framing");
+                throw new BadMessageException(400, "conflicting framing");
             }
             if (!value(codingField).equalsIgnoreCase("chunked")
                     || indexOfField("Transfer-Encoding", codingField + 1) >= 0) {
-                throw new BadMessage(400, "unknown transfer coding");
+                throw new BadMessageException(400, "unknown transfer coding");
             }
             return -2;
         }
@@ -252,13 +252,13 @@
                 i >= 0;
                 i = indexOfField("Content-Length", i + 1)) {
             if (!value(i).equals(contentLength)) {
-                throw new BadMessage(400, "conflicting framing");
+                throw new BadMessageException(400, "conflicting framing");
             }
         }
         if (contentLength.isEmpty()
                 || contentLength.length() > 18
                 || !contentLength.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new BadMessage(400, "malformed Content-Length");
+            throw new BadMessageException(400, "malformed Content-Length");
         }
         return Long.parseLong(contentLength);
     }
--- a/src/main/java/plumpost/http/RequestReader.java
+++ b/src/main/java/plumpost/http/RequestReader.java
@@ -16,7 +16,7 @@
     }
 
     /** Consumes bytes up to the end of the request; returns true once it is complete. */
-    public boolean feed(ByteBuffer received) throws BadMessage {
+    public boolean feed(ByteBuffer received) throws BadMessageException {
         if (bodyReader == null) {
             if (!head.feed(received)) {
                 return false;
@@ -24,17 +24,17 @@
             method = head.startLinePart(0);
             version = head.startLinePart(2);
             if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-                throw new BadMessage(400, "unknown version");
+                throw new BadMessageException(400, "unknown version");
             }
             if (version.equals("HTTP/1.1") && head.field("Host") == null) {
-                throw new BadMessage(400, "no Host");
+                throw new BadMessageException(400, "no Host");
             }
             if (!head.startLinePart(1).startsWith("/")) {
-                throw new BadMessage(400, "malformed target");
+                throw new BadMessageException(400, "malformed target");
             }
             long framing = head.framing();
             if (framing == -2 && version.equals("HTTP/1.0")) {
-                throw new BadMessage(400, "chunks are not known to this version");
+                throw new BadMessageException(400, "chunks are not known to this version");
             }
             bodyReader = new BodyReader(framing == -1 ? 0 : framing, bodyLimit);
         }
@@ -42,7 +42,7 @@
     }
 
     /** Returns whether a request has begun and is not complete. */
-    public boolean midway() {
+    public boolean isIncomplete() {
         return head.hasStarted() && (bodyReader == null || !bodyReader.complete());
     }
 
@@ -51,7 +51,7 @@
         return bodyReader != null
                 && !bodyReader.complete()
                 && bodyReader.bytes().remaining() == 0
-                && head.lists("Expect", "100-continue");
+                && head.hasToken("Expect", "100-continue");
     }
 
     /** Returns the head of the request. */
@@ -82,12 +82,12 @@
     }
 
     /** Returns whether the client closes the connection after this request. */
-    public boolean closes() {
-        return head.closes(version);
+    public boolean closesConnection() {
+        return head.closesConnection(version);
     }
 
     /** Prepares for the next request; buffers returned for the last one stay valid. */
-    public void next() {
+    public void reset() {
         head = new Head();
         bodyReader = null;
     }
--- a/src/main/java/plumpost/lab/LabMain.java
+++ b/src/main/java/plumpost/lab/LabMain.java
@@ -80,7 +80,7 @@
                         "unexpected argument " + line.getArgList().get(0));
             }
             InetSocketAddress target =
-                    NodeListReader.address("--target", line.getOptionValue("target", "127.0.0.1:4730"));
+                    NodeListReader.parseAddress("--target", line.getOptionValue("target", "127.0.0.1:4730"));
             if (target.getAddress() == null || !target.getAddress().isLoopbackAddress()) {
                 throw new ParseException("--target " + target + " is not a loopback address");
             }
--- a/src/main/java/plumpost/lab/LoopThread.java
+++ b/src/main/java/plumpost/lab/LoopThread.java
@@ -49,7 +49,7 @@
 
     private void watchLag() {
         double due = clock.nowMs() + LAG_SAMPLE_INTERVAL_MS;
-        wheel.at(due, () -> {
+        wheel.schedule(due, () -> {
             watchLag();
             double lag = clock.nowMs() - due;
             worstLagMs = Math.max(worstLagMs, lag);
@@ -91,7 +91,7 @@
     public <T> T callOnLoop(Supplier<T> action) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         List<T> result = new ArrayList<>(1);
-        loop.onLoop(() -> {
+        loop.execute(() -> {
             try {
                 result.add(action.get());
             } finally {
@@ -112,13 +112,13 @@
 
     /** Queues an action for the loop's thread without waiting for it. */
     public void runLater(Runnable action) {
-        loop.onLoop(action);
+        loop.execute(action);
     }
 
     @Override
     public void close() {
         stopped = true;
-        loop.onLoop(() -> {});
+        loop.execute(() -> {});
         try {
             thread.join();
         } catch (InterruptedException e) {
--- a/src/main/java/plumpost/lab/SchedulerProcess.java
+++ b/src/main/java/plumpost/lab/SchedulerProcess.java
@@ -94,7 +94,7 @@
             throw new IOException("the scheduler ended at its start, with " + process.waitFor() + ": " + log);
         }
         log.add(line);
-        front = NodeListReader.address("front", line.replaceAll(".* http /([0-9.:]+).*", "$1"));
+        front = NodeListReader.parseAddress("front", line.replaceAll(".* http /([0-9.:]+).*", "$1"));
         Thread drain = new Thread(() -> lines.lines().forEach(log::add), "scheduler log");
         drain.setDaemon(true);
         drain.start();
@@ -110,11 +110,11 @@
     }
 
     private boolean isReady() throws IOException {
-        return get("/health/ready").startsWith("HTTP/1.1 200 ");
+        return httpGet("/health/ready").startsWith("HTTP/1.1 200 ");
     }
 
     /** Sends a GET on a new connection and returns what the first read of the answer yields. */
-    public String get(String path) throws IOException {
+    public String httpGet(String path) throws IOException {
         try (Socket client = new Socket(front.getAddress(), front.getPort())) {
             client.setSoTimeout(10_000);
             String request = "GET " + path + " HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -173,7 +173,7 @@
     }
 
     /** Reads the current resource usage. */
-    public ResourceUsage account() throws IOException {
+    public ResourceUsage resourceUsage() throws IOException {
         Path system = Path.of("/proc", Long.toString(process.pid()));
         String stat = Files.readString(system.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
--- a/src/main/java/plumpost/lab/faults/FaultLibrary.java
+++ b/src/main/java/plumpost/lab/faults/FaultLibrary.java
@@ -156,12 +156,12 @@
     }
 
     /** Returns how many calls were made to fail so far. */
-    public long injected() {
+    public long injectedFailures() {
         return get(ControlWord.INJECTED);
     }
 
     /** Returns how many pauses of event loops there were so far. */
-    public long heldUp() {
+    public long holdUps() {
         return get(ControlWord.HELD_UP);
     }
 
--- a/src/main/java/plumpost/lab/fleet/FleetLab.java
+++ b/src/main/java/plumpost/lab/fleet/FleetLab.java
@@ -329,7 +329,7 @@
     /** Runs the command show, yield or remove through the configuration of one member. */
     public String runCommand(SchedulerProcess through, String command, String argument) throws IOException {
         return peersMaker.call(
-                PeersConfig.of(NodeConfig.from(
+                PeersConfig.fromNodeConfig(NodeConfig.from(
                         Json.object("configuration", Files.readAllBytes(through.configFile)), Map.of())),
                 command,
                 argument);
--- a/src/main/java/plumpost/lab/fleet/FleetLabMain.java
+++ b/src/main/java/plumpost/lab/fleet/FleetLabMain.java
@@ -56,7 +56,7 @@
             if (voters % 2 == 0) {
                 throw new ParseException("--processes is " + voters + ", not 1, 3 or 5");
             }
-            LinesProvider.begin("lab", false);
+            LinesProvider.configure("lab", false);
             long seed = intOption(line, "seed", 1, 0, Integer.MAX_VALUE);
             Path folder = Path.of(line.getOptionValue("folder", "target/fleet-test"))
                     .resolve("seed-" + seed + "-" + System.currentTimeMillis())
--- a/src/main/java/plumpost/lab/fleet/FleetPlayer.java
+++ b/src/main/java/plumpost/lab/fleet/FleetPlayer.java
@@ -40,29 +40,29 @@
      */
     double play(Step step) throws IOException, InterruptedException {
         switch (step.verb()) {
-            case PASS -> Thread.sleep(Math.round(Double.parseDouble(step.words()) * 1000));
+            case PASS -> Thread.sleep(Math.round(Double.parseDouble(step.text()) * 1000));
             case SEND -> send(step);
             case EXPECT -> {
                 return expect(step);
             }
-            default -> throw new BadInput(step.place() + ": a fleet script can only send, expect and wait");
+            default -> throw new BadInput(step.location() + ": a fleet script can only send, expect and wait");
         }
         return Double.NaN;
     }
 
     private SchedulerProcess target(Step step) throws InterruptedException {
-        SchedulerProcess process = step.who().equals("owner") ? owner : lab.process(step.who());
+        SchedulerProcess process = step.peer().equals("owner") ? owner : lab.process(step.peer());
         if (process == null) {
-            throw new BadInput(step.place() + ": no process " + step.who());
+            throw new BadInput(step.location() + ": no process " + step.peer());
         }
         return process;
     }
 
     private void send(Step step) throws IOException, InterruptedException {
-        List<String> words = Arrays.asList(step.words().split(" "));
-        if (step.who().equals("desk")) {
+        List<String> words = Arrays.asList(step.text().split(" "));
+        if (step.peer().equals("desk")) {
             if (words.size() != 5 || !words.get(0).equals("plan") || lab.process(words.get(1)) == null) {
-                throw new BadInput(step.place() + ": " + step.words() + " is not plan PROCESS FUNCTION KEY SECONDS");
+                throw new BadInput(step.location() + ": " + step.text() + " is not plan PROCESS FUNCTION KEY SECONDS");
             }
             LabWorkers.submitScheduled(
                     lab.process(words.get(1)),
@@ -73,23 +73,23 @@
             return;
         }
         boolean repairs = List.of("cont", "start", "heal", "go").contains(words.get(0));
-        if (step.who().equals("owner") && !repairs) {
+        if (step.peer().equals("owner") && !repairs) {
             owner = owner();
         }
         SchedulerProcess process = target(step);
         faultAtMs = lab.history().nowMs();
-        lastFault = repairs ? lastFault : step.words();
+        lastFault = repairs ? lastFault : step.text();
         switch (words.get(0)) {
             case "kill", "stop", "cont", "term" -> process.signal(words.get(0).toUpperCase(java.util.Locale.ROOT));
             case "start" -> process.start();
             case "wipe" -> process.deleteData();
             case "disk" -> process.setSyncDelay(Integer.parseInt(words.get(1)));
-            case "halt" -> process.setHalt(haltBoundary = step.words().substring("halt ".length()), true);
+            case "halt" -> process.setHalt(haltBoundary = step.text().substring("halt ".length()), true);
             case "go" -> process.setHalt(haltBoundary, false);
             case "cut" -> lab.cutOff(process.name(), words.contains("sends"), words.contains("hears"), true);
             case "heal" -> lab.cutOff(process.name(), true, true, false);
             case "yield" -> yieldSchedule(process);
-            default -> throw new BadInput(step.place() + ": unknown action " + step.words());
+            default -> throw new BadInput(step.location() + ": unknown action " + step.text());
         }
     }
 
@@ -104,13 +104,13 @@
 
     private double expect(Step step) throws IOException, InterruptedException {
         SchedulerProcess process = target(step);
-        if (step.words().equals("ended")) {
+        if (step.text().equals("ended")) {
             if (!process.awaitExit(Math.round(TIMEOUT_MS))) {
                 lab.history().add(process.name(), "stuck", "it does not end");
                 process.signal("KILL");
                 process.awaitExit(Math.round(TIMEOUT_MS));
             }
-        } else if (step.words().equals("replaced")) {
+        } else if (step.text().equals("replaced")) {
             History.Event replacement = lab.history().await(faultAtMs, REPLACEMENT_TIMEOUT_MS, event -> {
                 Matcher matcher = event.kind().equals("log") ? OWNED.matcher(event.text()) : null;
                 return matcher != null
@@ -125,9 +125,9 @@
                                 TIMEOUT_MS,
                                 event -> event.source().equals(process.name())
                                         && event.kind().equals("log")
-                                        && event.text().contains(step.words()))
+                                        && event.text().contains(step.text()))
                 == null) {
-            lab.history().add(process.name(), "stuck", "its log does not contain: " + step.words());
+            lab.history().add(process.name(), "stuck", "its log does not contain: " + step.text());
         }
         return Double.NaN;
     }
--- a/src/main/java/plumpost/lab/fleet/FleetRun.java
+++ b/src/main/java/plumpost/lab/fleet/FleetRun.java
@@ -237,7 +237,9 @@
                 if (status != null) {
                     Fields scheduleStatus = status.object("schedule");
                     collectGivenUp(status);
-                    if (scheduleStatus.whole("waiting") + scheduleStatus.whole("fired") + scheduleStatus.whole("begun")
+                    if (scheduleStatus.integer("waiting")
+                                    + scheduleStatus.integer("fired")
+                                    + scheduleStatus.integer("begun")
                             == 0) {
                         return;
                     }
--- a/src/main/java/plumpost/lab/fleet/GearmanConnection.java
+++ b/src/main/java/plumpost/lab/fleet/GearmanConnection.java
@@ -24,7 +24,7 @@
     }
 
     void send(Type type, Object... arguments) throws IOException {
-        for (ByteBuffer b : Packet.bytes(Packet.REQUEST, type, arguments)) {
+        for (ByteBuffer b : Packet.encode(Packet.REQUEST, type, arguments)) {
             byte[] chunk = new byte[b.remaining()];
             b.get(chunk);
             socket.getOutputStream().write(chunk);
--- a/src/main/java/plumpost/lab/gearman/LoadClient.java
+++ b/src/main/java/plumpost/lab/gearman/LoadClient.java
@@ -62,7 +62,7 @@
             loadThread.audit.clientWaits(submission.number);
         }
         awaitingHandle.add(submission);
-        connection.write(Packet.bytes(
+        connection.write(Packet.encode(
                 Packet.REQUEST,
                 type,
                 order ? plan.order() : plan.plan(),
@@ -80,7 +80,7 @@
             connection.write(ByteBuffer.wrap(new byte[] {0, 'R', 'E', 'Q', 0, 0, 0, 7, 0, 0, 4}));
         }
         connected = false;
-        connection.cut();
+        connection.closeNow();
         resubmitOutstanding();
     }
 
@@ -105,14 +105,14 @@
     @Override
     public void opened() {
         connected = true;
-        connection.write(Packet.bytes(Packet.REQUEST, Type.OPTION_REQ, "exceptions"));
+        connection.write(Packet.encode(Packet.REQUEST, Type.OPTION_REQ, "exceptions"));
         for (int remaining = unsent.size(); remaining > 0; remaining--) {
             submit(unsent.poll());
         }
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
+    public void received(ByteBuffer in) {
         try {
             for (Packet packet = reader.next(in); packet != null && connected; packet = reader.next(in)) {
                 handlePacket(packet);
--- a/src/main/java/plumpost/lab/gearman/LoadRun.java
+++ b/src/main/java/plumpost/lab/gearman/LoadRun.java
@@ -213,7 +213,10 @@
             channel.configureBlocking(false);
             muteChannels.add(channel);
             writeEchoRequests(
-                    channel, Packet.bytes(Packet.REQUEST, Packet.Type.ECHO_REQ, ByteBuffer.allocate(MUTE_BYTES)), 0, 0);
+                    channel,
+                    Packet.encode(Packet.REQUEST, Packet.Type.ECHO_REQ, ByteBuffer.allocate(MUTE_BYTES)),
+                    0,
+                    0);
         } catch (IOException e) {
             audit.count("mute connection refused");
         }
@@ -242,13 +245,13 @@
             clientThread.loop.dial(plan.target(), connection -> new ConnectionHandler() {
                 @Override
                 public void opened() {
-                    connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.CAN_DO, plan.plan()));
-                    connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.PRE_SLEEP));
-                    clientThread.schedule(5, connection::cut);
+                    connection.write(Packet.encode(Packet.REQUEST, Packet.Type.CAN_DO, plan.plan()));
+                    connection.write(Packet.encode(Packet.REQUEST, Packet.Type.PRE_SLEEP));
+                    clientThread.schedule(5, connection::closeNow);
                 }
 
                 @Override
-                public void bytes(ByteBuffer in) {
+                public void received(ByteBuffer in) {
                     in.position(in.limit());
                 }
 
--- a/src/main/java/plumpost/lab/gearman/LoadThread.java
+++ b/src/main/java/plumpost/lab/gearman/LoadThread.java
@@ -30,7 +30,7 @@
     }
 
     void schedule(double ms, Runnable action) {
-        wheel.at(clock.nowMs() + ms, action);
+        wheel.schedule(clock.nowMs() + ms, action);
     }
 
     void start(String name) {
@@ -48,7 +48,7 @@
 
     void stop() throws IOException {
         stopped = true;
-        loop.onLoop(() -> {});
+        loop.execute(() -> {});
         try {
             thread.join(5000);
         } catch (InterruptedException e) {
--- a/src/main/java/plumpost/lab/gearman/LoadWorker.java
+++ b/src/main/java/plumpost/lab/gearman/LoadWorker.java
@@ -41,14 +41,14 @@
     private void reconnect() {
         if (connected) {
             connected = false;
-            connection.cut();
+            connection.closeNow();
         }
         loadThread.schedule(RETRY_MS * (1 + loadThread.random.nextDouble()), this::connect);
     }
 
     private void send(Type type, Object... arguments) {
         if (connected) {
-            connection.write(Packet.bytes(Packet.REQUEST, type, arguments));
+            connection.write(Packet.encode(Packet.REQUEST, type, arguments));
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void bytes(ByteBuffer in) {
+    public void received(ByteBuffer in) {
         try {
             for (Packet packet = reader.next(in); packet != null && connected; packet = reader.next(in)) {
                 switch (packet.type()) {
@@ -88,8 +88,8 @@
     }
 
     private void begin(Packet packet) {
-        JobPayload payload = JobPayload.parse(packet.parts().get(3));
-        handle = packet.parts().get(0);
+        JobPayload payload = JobPayload.parse(packet.arguments().get(3));
+        handle = packet.arguments().get(0);
         boolean first = loadThread.audit.jobBegun(payload);
         if (!payload.order() && !Double.isNaN(drainedAt)) {
             double after = loadThread.clock.nowMs() - drainedAt;
--- a/src/main/java/plumpost/lab/scale/EmulatedDiscovery.java
+++ b/src/main/java/plumpost/lab/scale/EmulatedDiscovery.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -58,12 +58,12 @@
         version++;
         changedLines++;
         String line = object(false, line(worker, up ? "up" : "draining", up ? clock.nowMs() : 0));
-        watches.forEach(watch -> watch.write(Answers.ascii(chunk(line))));
+        watches.forEach(watch -> watch.write(AnswerEncoder.ascii(chunk(line))));
     }
 
     private void sendEmptyLine() {
-        watches.forEach(watch -> watch.write(Answers.ascii(chunk("\n"))));
-        wheel.at(clock.nowMs() + EMPTY_LINE_MS, this::sendEmptyLine);
+        watches.forEach(watch -> watch.write(AnswerEncoder.ascii(chunk("\n"))));
+        wheel.schedule(clock.nowMs() + EMPTY_LINE_MS, this::sendEmptyLine);
     }
 
     private String wholeList() {
@@ -104,15 +104,15 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             try {
                 if (reader.feed(in)) {
-                    connection.write(Answers.ascii(
+                    connection.write(AnswerEncoder.ascii(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(wholeList())));
                     watches.add(connection);
                 }
-            } catch (BadMessage e) {
-                connection.cut();
+            } catch (BadMessageException e) {
+                connection.closeNow();
             }
         }
 
--- a/src/main/java/plumpost/lab/scale/EmulatedWorkers.java
+++ b/src/main/java/plumpost/lab/scale/EmulatedWorkers.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -81,32 +81,32 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             try {
                 while (!closed && in.hasRemaining() && reader.feed(in)) {
                     request();
-                    reader.next();
+                    reader.reset();
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 closed = true;
-                connection.cut();
+                connection.closeNow();
             }
         }
 
         private void request() {
             if (reader.path().startsWith("/stats") || reader.path().startsWith("/health")) {
                 probes++;
-                connection.write(Answers.ascii(STATS));
+                connection.write(AnswerEncoder.ascii(STATS));
                 return;
             }
             jobs++;
             String id = reader.head().field("X-Txn");
-            connection.write(Answers.ascii(
+            connection.write(AnswerEncoder.ascii(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(id, "\"state\":\"started\"")));
-            wheel.at(clock.nowMs() + serviceMs, () -> {
+            wheel.schedule(clock.nowMs() + serviceMs, () -> {
                 if (!closed) {
                     String done = chunk(id, "\"state\":\"done\",\"result\":\"done\"");
-                    connection.write(Answers.ascii(done + "0\r\n\r\n"));
+                    connection.write(AnswerEncoder.ascii(done + "0\r\n\r\n"));
                 }
             });
         }
--- a/src/main/java/plumpost/lab/scale/JobSource.java
+++ b/src/main/java/plumpost/lab/scale/JobSource.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
+import plumpost.http.AnswerEncoder;
 import plumpost.http.AnswerReader;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 import plumpost.net.SelectorLoop;
@@ -94,7 +94,7 @@
             }
             client.send();
         }
-        wheel.at(nextAt, this::sendDue);
+        wheel.schedule(nextAt, this::sendDue);
     }
 
     private final class Client implements ConnectionHandler {
@@ -110,19 +110,19 @@
             String path = random.nextDouble() < ORDER_FRACTION ? "pickup-order" : "route-plan";
             waiting = true;
             connection.write(
-                    Answers.ascii("POST /" + path + " HTTP/1.1\r\nHost: s\r\nX-Txn: " + Long.toHexString(sent++)
+                    AnswerEncoder.ascii("POST /" + path + " HTTP/1.1\r\nHost: s\r\nX-Txn: " + Long.toHexString(sent++)
                             + "-" + Long.toHexString(random.nextLong()) + "\r\nX-Remaining-Ms: 8000\r\nX-Estimate: "
                             + (long) (serviceMs * 1000) + "\r\nContent-Length: 4\r\n\r\njob\n"));
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             try {
                 if (!reader.feed(in)) {
                     return;
                 }
-            } catch (BadMessage e) {
-                connection.cut();
+            } catch (BadMessageException e) {
+                connection.closeNow();
                 ended();
                 return;
             }
--- a/src/main/java/plumpost/lab/scale/Measurement.java
+++ b/src/main/java/plumpost/lab/scale/Measurement.java
@@ -70,7 +70,7 @@
                     fields.text("role"),
                     fields.text("axis"),
                     fields.number("size"),
-                    fields.whole("play"),
+                    fields.integer("play"),
                     fields.flag("valid", true),
                     figures));
         }
--- a/src/main/java/plumpost/lab/scale/ModuleCost.java
+++ b/src/main/java/plumpost/lab/scale/ModuleCost.java
@@ -44,7 +44,7 @@
         for (int i = 0; i < workerCount; i++) {
             workers.add(entry(i, Phase.SERVING));
         }
-        logic.workers(now, ListMode.FULL, workers);
+        logic.onWorkerList(now, ListMode.FULL, workers);
     }
 
     private WorkerEntry entry(int worker, Phase phase) {
@@ -73,9 +73,9 @@
             Dispatcher.Job job = new Dispatcher.Job(id, 0, 0, null, 8_000, RUN_MS, 1, Double.NaN, false);
             long begin = System.nanoTime();
             endDue();
-            logic.arrived(now, job);
+            logic.onJobArrived(now, job);
             reportResults();
-            logic.timer(now, 0);
+            logic.onTimer(now, 0);
             reportResults();
             spent += System.nanoTime() - begin;
         }
@@ -97,7 +97,7 @@
         if (completed) {
             attempts.remove(ended.job);
         }
-        logic.ended(
+        logic.onAttemptEnded(
                 now, new Dispatcher.Outcome(ended.job, ended.attempt, ended.worker, ending, RUN_MS, completed, null));
     }
 
@@ -106,10 +106,10 @@
         while (!probed.isEmpty() || !unstarted.isEmpty() || !cancelled.isEmpty()) {
             for (String worker : drainList(probed)) {
                 LoadReport report = new LoadReport(0, 0, RUN_MS, Double.NaN, 4, Double.NaN);
-                logic.probed(now, worker, Ending.OK, 1, report);
+                logic.onProbeResult(now, worker, Ending.OK, 1, report);
             }
             for (Running each : drainList(unstarted)) {
-                logic.started(now, each.job, each.attempt, each.worker);
+                logic.onAttemptStarted(now, each.job, each.attempt, each.worker);
             }
             for (Running each : drainList(cancelled)) {
                 end(each, Ending.CANCELLED);
@@ -127,7 +127,7 @@
         long begin = System.nanoTime();
         for (int i = 0; i < CHANGES; i++) {
             int worker = random.nextInt(workers.size());
-            logic.workers(
+            logic.onWorkerList(
                     now, ListMode.INCREMENTAL, List.of(entry(worker, i % 2 == 0 ? Phase.DRAINING : Phase.SERVING)));
         }
         return (System.nanoTime() - begin) / 1e3 / CHANGES;
@@ -170,12 +170,12 @@
     }
 
     @Override
-    public void timer(double atMs, long token) {
+    public void requestTimer(double atMs, long token) {
         // the module's timer is called at each job
     }
 
     @Override
-    public void subscribe() {
+    public void requestWorkerList() {
         // the measurement provides the list itself
     }
 
--- a/src/main/java/plumpost/lab/scale/ScaleRun.java
+++ b/src/main/java/plumpost/lab/scale/ScaleRun.java
@@ -101,11 +101,11 @@
             emulated.startChanges(changes);
             Thread.sleep(SETTLE_MS);
             emulated.resetLag();
-            SchedulerProcess.ResourceUsage before = scheduler.account();
+            SchedulerProcess.ResourceUsage before = scheduler.resourceUsage();
             double ownBefore = ownCpuSeconds();
             long sentBefore = emulated.callOnLoop(jobs::sent);
             Thread.sleep(plan.seconds() * 1000L);
-            SchedulerProcess.ResourceUsage after = scheduler.account();
+            SchedulerProcess.ResourceUsage after = scheduler.resourceUsage();
             long sent = emulated.callOnLoop(jobs::sent) - sentBefore;
             double ownCores = (ownCpuSeconds() - ownBefore) / plan.seconds();
             boolean valid = emulated.worstLagMs() < MAX_LAB_LAG_MS && ownCores < MAX_LAB_CORES;
@@ -223,7 +223,7 @@
         private void change(double everyMs) {
             discovery.change(nextChanged / 2 % workers.count(), nextChanged % 2 == 1);
             nextChanged++;
-            wheel.at(clock.nowMs() + everyMs, () -> change(everyMs));
+            wheel.schedule(clock.nowMs() + everyMs, () -> change(everyMs));
         }
 
         /** Runs an action on the loop's thread and returns its result. */
--- a/src/main/java/plumpost/lab/script/Conformance.java
+++ b/src/main/java/plumpost/lab/script/Conformance.java
@@ -29,7 +29,7 @@
             "malformed");
 
     /** Result of one case; {@code failure} is null if it passed. */
-    public record Result(Script.Case example, String failure) {}
+    public record Result(Script.Case testCase, String failure) {}
 
     private Conformance() {}
 
@@ -45,7 +45,7 @@
                 throw new IllegalStateException(name, e);
             }
         }
-        all.removeIf(testCase -> !on.test(testCase.on()));
+        all.removeIf(testCase -> !on.test(testCase.setup()));
         return all;
     }
 
@@ -77,7 +77,7 @@
     public static String table(List<Result> results) {
         Map<String, int[]> rows = new TreeMap<>();
         for (Result r : results) {
-            for (String topic : r.example().covers().stream()
+            for (String topic : r.testCase().covers().stream()
                     .map(t -> t.split("\\|")[0])
                     .distinct()
                     .toList()) {
--- a/src/main/java/plumpost/lab/script/Player.java
+++ b/src/main/java/plumpost/lab/script/Player.java
@@ -43,11 +43,11 @@
     /** Plays a step; throws {@link StepFailed} if it fails. */
     public void play(Script.Step step) {
         switch (step.verb()) {
-            case SEND -> rig.send(step.who(), bytes(step));
+            case SEND -> rig.send(step.peer(), bytes(step));
             case EXPECT -> expect(step);
-            case CLOSE -> rig.close(step.who());
-            case PASS -> rig.pass(Double.parseDouble(step.words()));
-            default -> throw new StepFailed(step.place() + ": " + step.verb() + " is not for Gearman peers");
+            case CLOSE -> rig.close(step.peer());
+            case PASS -> rig.advance(Double.parseDouble(step.text()));
+            default -> throw new StepFailed(step.location() + ": " + step.verb() + " is not for Gearman peers");
         }
     }
 
@@ -59,7 +59,7 @@
                     ? "x".repeat(Integer.parseInt(matcher.group(2)))
                     : names.get(matcher.group(1));
             if (value == null) {
-                throw new StepFailed(step.place() + ": $" + matcher.group(1) + " has no value yet");
+                throw new StepFailed(step.location() + ": $" + matcher.group(1) + " has no value yet");
             }
             matcher.appendReplacement(all, Matcher.quoteReplacement(value));
         }
@@ -71,7 +71,7 @@
     }
 
     private byte[] bytes(Script.Step step) {
-        String words = step.words();
+        String words = step.text();
         if (words.startsWith("\"")) {
             return unquote(substitute(step, words)).getBytes(StandardCharsets.ISO_8859_1);
         }
@@ -83,12 +83,12 @@
         try {
             type = Packet.Type.valueOf(parts[0]);
         } catch (IllegalArgumentException e) {
-            throw new StepFailed(step.place() + ": no packet type " + parts[0]);
+            throw new StepFailed(step.location() + ": no packet type " + parts[0]);
         }
         Object[] arguments = new Object[parts.length - 1];
         System.arraycopy(parts, 1, arguments, 0, arguments.length);
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (ByteBuffer b : Packet.bytes(Packet.REQUEST, type, arguments)) {
+        for (ByteBuffer b : Packet.encode(Packet.REQUEST, type, arguments)) {
             byte[] chunk = b == null ? new byte[0] : new byte[b.remaining()];
             if (b != null) {
                 b.get(chunk);
@@ -101,17 +101,17 @@
     // ---- expectations ----
 
     private void expect(Script.Step step) {
-        String words = step.words();
+        String words = step.text();
         switch (words) {
             case "nothing" -> {
-                String more = awaitUnread(step.who(), SILENCE_MS) ? quote(unread.get(step.who())) : "nothing";
+                String more = awaitUnread(step.peer(), SILENCE_MS) ? quote(unread.get(step.peer())) : "nothing";
                 check(step, more.equals("nothing"), more);
             }
             case "closed" -> {
-                while (awaitUnread(step.who(), timeoutMs)) {
-                    check(step, unread.get(step.who()).length == 0, quote(unread.get(step.who())));
+                while (awaitUnread(step.peer(), timeoutMs)) {
+                    check(step, unread.get(step.peer()).length == 0, quote(unread.get(step.peer())));
                 }
-                check(step, rig.take(step.who(), 0) == null, "an open connection");
+                check(step, rig.receive(step.peer(), 0) == null, "an open connection");
             }
             default -> {
                 if (words.startsWith("\"")) {
@@ -125,7 +125,7 @@
 
     private static void check(Script.Step step, boolean holds, String got) {
         if (!holds) {
-            throw new StepFailed(step.place() + ": " + step.who() + " expects " + step.words() + " and gets " + got);
+            throw new StepFailed(step.location() + ": " + step.peer() + " expects " + step.text() + " and gets " + got);
         }
     }
 
@@ -140,7 +140,7 @@
 
     /** Waits for more bytes and appends them to the unread ones; false if none came. */
     private boolean awaitMore(String who, double ms) {
-        byte[] received = rig.take(who, ms);
+        byte[] received = rig.receive(who, ms);
         if (received == null || received.length == 0) {
             return false;
         }
@@ -152,19 +152,19 @@
     }
 
     private void expectText(Script.Step step) {
-        Pattern pattern = pattern(step, unquote(step.words()));
+        Pattern pattern = pattern(step, unquote(step.text()));
         do {
-            String got = new String(unread.getOrDefault(step.who(), new byte[0]), StandardCharsets.ISO_8859_1);
+            String got = new String(unread.getOrDefault(step.peer(), new byte[0]), StandardCharsets.ISO_8859_1);
             if (pattern.matcher(got).matches()) {
-                unread.remove(step.who());
+                unread.remove(step.peer());
                 return;
             }
-        } while (awaitMore(step.who(), timeoutMs));
-        check(step, false, quote(unread.getOrDefault(step.who(), new byte[0])));
+        } while (awaitMore(step.peer(), timeoutMs));
+        check(step, false, quote(unread.getOrDefault(step.peer(), new byte[0])));
     }
 
     private void expectPacket(Script.Step step) {
-        String who = step.who();
+        String who = step.peer();
         int size = 12;
         for (byte[] available = unread.getOrDefault(who, new byte[0]);
                 available.length < size;
@@ -181,17 +181,17 @@
             available = unread.get(who);
         }
         unread.put(who, java.util.Arrays.copyOfRange(available, size, available.length));
-        Packet.Type type = Packet.Type.of(ByteBuffer.wrap(available).getInt(4));
+        Packet.Type type = Packet.Type.forCode(ByteBuffer.wrap(available).getInt(4));
         String got = type
-                + (size == 12 && (type == null || type.arguments() == 0)
+                + (size == 12 && (type == null || type.argumentCount() == 0)
                         ? ""
                         : "|" + new String(available, 12, size - 12, StandardCharsets.ISO_8859_1).replace('\0', '|'));
-        Matcher matcher = pattern(step, step.words()).matcher(got);
+        Matcher matcher = pattern(step, step.text()).matcher(got);
         check(
                 step,
                 ByteBuffer.wrap(available).getInt(0) == Packet.RESPONSE && matcher.matches(),
                 quote(got.getBytes(StandardCharsets.ISO_8859_1)));
-        Matcher named = PLACEHOLDER.matcher(step.words());
+        Matcher named = PLACEHOLDER.matcher(step.text());
         while (named.find()) {
             String name = named.group(1);
             if (name != null && !names.containsKey(name)) {
--- a/src/main/java/plumpost/lab/script/Rig.java
+++ b/src/main/java/plumpost/lab/script/Rig.java
@@ -6,11 +6,11 @@
     void send(String peer, byte[] bytes);
 
     /** Waits at most {@code timeoutMs} for bytes to a peer and returns them; empty on timeout, null once it is closed. */
-    byte[] take(String peer, double timeoutMs);
+    byte[] receive(String peer, double timeoutMs);
 
     /** Closes the connection of a peer. */
     void close(String peer);
 
     /** Waits for {@code ms} milliseconds, or advances a simulated clock by as much. */
-    void pass(double ms);
+    void advance(double ms);
 }
--- a/src/main/java/plumpost/lab/script/Script.java
+++ b/src/main/java/plumpost/lab/script/Script.java
@@ -33,15 +33,15 @@
     /**
      * One step of a script.
      *
-     * @param who name of the peer, or null for a step that only lets time pass
+     * @param peer name of the peer, or null for a step that only lets time pass
      * @param verb action of the step
-     * @param words what is sent or expected, or a number as text
-     * @param place file, line and column, for error messages
+     * @param text what is sent or expected, or a number as text
+     * @param location file, line and column, for error messages
      */
-    public record Step(String who, Verb verb, String words, String place) {}
+    public record Step(String peer, Verb verb, String text, String location) {}
 
     /** A named case: the packet types and admin lines that it covers, the server setup that it needs, and its steps. */
-    public record Case(String title, List<String> covers, String on, List<Step> steps) {}
+    public record Case(String title, List<String> covers, String setup, List<Step> steps) {}
 
     /** Parses a script; {@code where} names it in error messages. */
     public static Script parse(String where, String text) {
@@ -102,7 +102,7 @@
                     covers.stream().map(c -> c.replace(placeholder, value)).toList(),
                     setup,
                     steps.stream()
-                            .map(s -> new Step(s.who, s.verb, s.words.replace(placeholder, value), s.place))
+                            .map(s -> new Step(s.peer, s.verb, s.text.replace(placeholder, value), s.location))
                             .toList()));
         }
     }
--- a/src/main/java/plumpost/lab/script/TcpRig.java
+++ b/src/main/java/plumpost/lab/script/TcpRig.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public byte[] take(String peer, double timeoutMs) {
+    public byte[] receive(String peer, double timeoutMs) {
         try {
             Socket socket = socket(peer);
             InputStream in = socket.getInputStream();
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void pass(double ms) {
+    public void advance(double ms) {
         try {
             Thread.sleep((long) ms);
         } catch (InterruptedException e) {
--- a/src/main/java/plumpost/lab/soak/SoakClients.java
+++ b/src/main/java/plumpost/lab/soak/SoakClients.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import plumpost.http.AnswerEncoder;
 import plumpost.http.AnswerReader;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.lab.soak.RequestRecord.RequestClass;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -67,7 +67,7 @@
     /** Sends requests to a scheduler at random times, to whichever of its processes is current. */
     void startFor(int scheduler) {
         double gap = -Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
-        wheel.at(clock.nowMs() + gap, () -> {
+        wheel.schedule(clock.nowMs() + gap, () -> {
             if (sending) {
                 startFor(scheduler);
                 SchedulerRun schedulerRun = currentRuns.get(scheduler);
@@ -138,7 +138,9 @@
                     + "\r\nX-Remaining-Ms: " + (long) remaining + "\r\nContent-Length: 4\r\n\r\nbody";
             boolean inPieces = random.nextDouble() < SPLIT_FRACTION;
             int cut = inPieces ? 1 + random.nextInt(text.length() - 1) : 0;
-            pieces = new ByteBuffer[] {Answers.ascii(text.substring(0, cut)), Answers.ascii(text.substring(cut))};
+            pieces = new ByteBuffer[] {
+                AnswerEncoder.ascii(text.substring(0, cut)), AnswerEncoder.ascii(text.substring(cut))
+            };
             if (opened) {
                 write();
             }
@@ -163,7 +165,7 @@
             if (gap == 0) {
                 writeLast(current);
             } else {
-                wheel.at(clock.nowMs() + gap, () -> writeLast(current));
+                wheel.schedule(clock.nowMs() + gap, () -> writeLast(current));
             }
         }
 
@@ -176,21 +178,21 @@
             connection.write(pieces[1]);
             boolean leaves = random.nextDouble() < LEAVE_FRACTION;
             double patience = leaves ? random.nextDouble() * 500 : sentRequest.remainingMs + 1_000;
-            wheel.at(clock.nowMs() + patience, () -> leave(sentRequest));
+            wheel.schedule(clock.nowMs() + patience, () -> leave(sentRequest));
         }
 
         /** Sends an incomplete request and checks that the scheduler answers or closes the connection in time. */
         private void stopMidway() {
-            connection.write(Answers.ascii("POST /plan HTTP/1.1\r\nHost: s\r\nContent-Len"));
+            connection.write(AnswerEncoder.ascii("POST /plan HTTP/1.1\r\nHost: s\r\nContent-Len"));
             stalled = true;
             request = null;
             double since = clock.nowMs();
-            wheel.at(since + STALL_TIMEOUT_MS + STALL_TIMEOUT_SLACK_MS, () -> {
+            wheel.schedule(since + STALL_TIMEOUT_MS + STALL_TIMEOUT_SLACK_MS, () -> {
                 if (!closed && !schedulerRun.hasEnded()) {
                     oracle.recordViolation(
                             Oracle.Rule.STALLED,
                             "a client that stopped midway at " + Math.round(since) + ", " + schedulerRun);
-                    connection.cut();
+                    connection.closeNow();
                     closed = true;
                 }
             });
@@ -199,21 +201,21 @@
         private void leave(RequestRecord abandoned) {
             if (!closed && request == abandoned) {
                 abandoned.clientLeftAt = clock.nowMs();
-                connection.cut();
+                connection.closeNow();
                 closed = true;
                 clients.get(schedulerRun).remove(this);
             }
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             try {
                 if (!reader.feed(in)) {
                     return;
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 oracle.recordViolation(Oracle.Rule.FORGED, "a client got what is no answer: " + e);
-                connection.cut();
+                connection.closeNow();
                 ended();
                 return;
             }
@@ -221,11 +223,11 @@
             reader.body().duplicate().get(body);
             RequestRecord answered = request;
             request = null;
-            boolean keepAlive = reader.keeps();
+            boolean keepAlive = reader.keepsConnection();
             if (answered != null && !Double.isNaN(answered.sentAt)) {
                 oracle.answered(answered, reader.status(), new String(body, StandardCharsets.UTF_8), clock.nowMs());
             }
-            reader.next();
+            reader.reset();
             if (!keepAlive || stalled) {
                 connection.finish();
                 closed = true;
--- a/src/main/java/plumpost/lab/soak/SoakDiscovery.java
+++ b/src/main/java/plumpost/lab/soak/SoakDiscovery.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.lab.soak.RequestRecord.AttemptRecord;
 import plumpost.lab.soak.SoakWorkers.Worker;
@@ -88,7 +88,7 @@
     void makeUnavailable(double forMs) {
         unavailableUntil = Math.max(unavailableUntil, clock.nowMs() + forMs);
         lastUnavailableAt = unavailableUntil;
-        Set.copyOf(watches).forEach(watch -> watch.connection.cut());
+        Set.copyOf(watches).forEach(watch -> watch.connection.closeNow());
         watches.clear();
     }
 
@@ -121,7 +121,7 @@
 
     private void sendEmptyLines() {
         watches.forEach(watch -> watch.send("\n"));
-        wheel.at(clock.nowMs() + EMPTY_LINE_MS, this::sendEmptyLines);
+        wheel.schedule(clock.nowMs() + EMPTY_LINE_MS, this::sendEmptyLines);
     }
 
     /** Records that a scheduler acknowledged an operator's call. */
@@ -166,19 +166,20 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             double now = clock.nowMs();
             if (now < unavailableUntil) {
-                connection.write(Answers.ascii("HTTP/1.1 503 Away\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
+                connection.write(
+                        AnswerEncoder.ascii("HTTP/1.1 503 Away\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
                 connection.finish();
                 closed = true;
                 return;
             }
             try {
                 if (!answered && reader.feed(in) && now >= silentUntil) {
-                    wheel.at(now + (now < slowUntil ? 1_500 : 0), this::answer);
+                    wheel.schedule(now + (now < slowUntil ? 1_500 : 0), this::answer);
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 oracle.recordViolation(Oracle.Rule.FORGED, "a scheduler sent discovery what is no request: " + e);
             }
         }
@@ -189,7 +190,7 @@
             }
             answered = true;
             watches.add(this);
-            connection.write(Answers.ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+            connection.write(AnswerEncoder.ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
             send(wholeList() + "\n");
             leavingSince.keySet().forEach(this::recordNotified);
         }
@@ -198,7 +199,7 @@
             if (!answered || silent || closed) {
                 return;
             }
-            connection.write(Answers.ascii(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
+            connection.write(AnswerEncoder.ascii(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
             workers.values().stream()
                     .filter(worker ->
                             text.contains("\"" + worker.name() + "\"") && leavingSince.containsKey(worker.name()))
--- a/src/main/java/plumpost/lab/soak/SoakRun.java
+++ b/src/main/java/plumpost/lab/soak/SoakRun.java
@@ -74,7 +74,7 @@
     }
 
     private void judgePeriodically() {
-        labLoop.wheel().at(nowMs() + JUDGE_INTERVAL_MS, () -> {
+        labLoop.wheel().schedule(nowMs() + JUDGE_INTERVAL_MS, () -> {
             judgePeriodically();
             oracle.judge(nowMs());
         });
@@ -117,9 +117,10 @@
     }
 
     private void printReport() {
-        long injected =
-                slots.stream().mapToLong(slot -> slot.faults().injected()).sum();
-        long heldUp = slots.stream().mapToLong(slot -> slot.faults().heldUp()).sum();
+        long injected = slots.stream()
+                .mapToLong(slot -> slot.faults().injectedFailures())
+                .sum();
+        long heldUp = slots.stream().mapToLong(slot -> slot.faults().holdUps()).sum();
         out.printf(
                 "seed %d: %s, calls failed %d, held up %d times, player late by up to %.0f ms%n",
                 plan.seed(), oracle.counts(), injected, heldUp, labLoop.worstLagMs());
--- a/src/main/java/plumpost/lab/soak/SoakWorkers.java
+++ b/src/main/java/plumpost/lab/soak/SoakWorkers.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.lab.soak.RequestRecord.AttemptEnd;
 import plumpost.lab.soak.RequestRecord.AttemptRecord;
@@ -125,7 +125,7 @@
         void drain(double goneAfterMs) {
             state = "draining";
             discovery.publishChange(this);
-            wheel.at(clock.nowMs() + goneAfterMs, () -> {
+            wheel.schedule(clock.nowMs() + goneAfterMs, () -> {
                 state = "removed";
                 discovery.publishChange(this);
             });
@@ -135,7 +135,7 @@
         void crash(double listedAfterMs) {
             listener.close();
             List.copyOf(connections).forEach(WorkerConnection::cut);
-            wheel.at(clock.nowMs() + listedAfterMs, () -> {
+            wheel.schedule(clock.nowMs() + listedAfterMs, () -> {
                 state = "removed";
                 discovery.publishChange(this);
             });
@@ -158,17 +158,17 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             try {
                 while (!closed && in.hasRemaining()) {
                     firstByteAt = Double.isNaN(firstByteAt) ? clock.nowMs() : firstByteAt;
                     if (reader.feed(in)) {
                         handleRequest();
-                        reader.next();
+                        reader.reset();
                         firstByteAt = Double.NaN;
                     }
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 oracle.recordViolation(
                         Oracle.Rule.FORGED, "a scheduler sent " + worker.name + " what is no request: " + e);
                 cut();
@@ -177,7 +177,7 @@
 
         private void handleRequest() {
             if (!reader.method().equals("POST")) {
-                connection.write(Answers.ascii(STATS));
+                connection.write(AnswerEncoder.ascii(STATS));
                 return;
             }
             RequestRecord request = oracle.findRequest(reader.head().field("X-Txn"));
@@ -198,7 +198,7 @@
         private void serve(RequestRecord request, AttemptRecord served) {
             double draw = random.nextDouble();
             if (clock.nowMs() < worker.resetsUntil && draw < 0.3) {
-                wheel.at(clock.nowMs() + random.nextDouble() * 40, this::cut);
+                wheel.schedule(clock.nowMs() + random.nextDouble() * 40, this::cut);
                 return;
             }
             if (draw > 1 - TURNED_AWAY_FRACTION) {
@@ -208,13 +208,13 @@
                         "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            connection.write(Answers.ascii(
+            connection.write(AnswerEncoder.ascii(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(request, "\"state\":\"started\"")));
             if (clock.nowMs() < worker.hangsUntil) {
                 return;
             }
             double serviceMs = -Math.log(1 - random.nextDouble()) * MEAN_SERVICE_MS;
-            wheel.at(clock.nowMs() + serviceMs, () -> {
+            wheel.schedule(clock.nowMs() + serviceMs, () -> {
                 if (attempt != served) {
                     return;
                 }
@@ -233,7 +233,7 @@
             if (attempt == ended && !closed) {
                 oracle.attemptEnded(ended, attemptEnd, clock.nowMs());
                 attempt = null;
-                connection.write(Answers.ascii(response));
+                connection.write(AnswerEncoder.ascii(response));
             }
         }
 
@@ -244,7 +244,7 @@
 
         private void cut() {
             if (!closed) {
-                connection.cut();
+                connection.closeNow();
                 ended();
             }
         }
--- a/src/main/java/plumpost/log/LinesProvider.java
+++ b/src/main/java/plumpost/log/LinesProvider.java
@@ -13,7 +13,7 @@
     private final MDCAdapter contexts = new NOPMDCAdapter();
 
     /** Sets the format of the lines and the process name in them; to be called before the first logger is created. */
-    public static void begin(String name, boolean json) {
+    public static void configure(String name, boolean json) {
         Lines.configure(name, json);
         System.setProperty("slf4j.internal.verbosity", "WARN"); // else SLF4J reports which provider it uses
         System.setProperty(
--- a/src/main/java/plumpost/log/Logs.java
+++ b/src/main/java/plumpost/log/Logs.java
@@ -16,7 +16,7 @@
         if (format == null) {
             return text -> System.err.println(processName + ": " + text);
         }
-        LinesProvider.begin(processName, format.equals("json"));
+        LinesProvider.configure(processName, format.equals("json"));
         Logger logger = LoggerFactory.getLogger("plumpost");
         return logger::info;
     }
--- a/src/main/java/plumpost/net/Connection.java
+++ b/src/main/java/plumpost/net/Connection.java
@@ -19,7 +19,7 @@
     void finish();
 
     /** Closes the connection at once and discards pending output; its handler is not called any more. */
-    void cut();
+    void closeNow();
 
     /** Stops reading until {@link #resumeReading}, so that flow control stops the peer. */
     default void pauseReading() {}
@@ -31,10 +31,10 @@
      * Returns for how many milliseconds the bytes that are being read may have waited because the connection could not be
      * accepted, or 0 if accepting has not failed.
      */
-    default double waitedMs() {
+    default double backlogWaitMs() {
         return 0;
     }
 
     /** Reads what has already arrived, so that a close by the peer is noticed before the next write. */
-    void look();
+    void readAvailable();
 }
--- a/src/main/java/plumpost/net/ConnectionHandler.java
+++ b/src/main/java/plumpost/net/ConnectionHandler.java
@@ -8,7 +8,7 @@
     default void opened() {}
 
     /** Called with the bytes received; the handler consumes all of them. */
-    void bytes(ByteBuffer received);
+    void received(ByteBuffer received);
 
     /** Called when all output has been written to the socket. */
     default void flushed() {}
--- a/src/main/java/plumpost/net/SelectorLoop.java
+++ b/src/main/java/plumpost/net/SelectorLoop.java
@@ -99,7 +99,7 @@
      */
     public void turn(double maxWaitMs) throws IOException {
         double nowMs = clock.nowMs();
-        double waitMs = deferredTasks.isEmpty() ? wheel.quietUntil(nowMs, maxWaitMs) - nowMs : 0;
+        double waitMs = deferredTasks.isEmpty() ? wheel.idleUntil(nowMs, maxWaitMs) - nowMs : 0;
         if (waitMs <= 0) {
             selector.selectNow();
         } else {
@@ -111,7 +111,7 @@
         }
         selector.selectedKeys().clear();
         lastSelectMs = selectedAtMs;
-        runGuarded(() -> wheel.turnTo(clock.nowMs()));
+        runGuarded(() -> wheel.advanceTo(clock.nowMs()));
         for (Runnable task = externalTasks.poll(); task != null; task = externalTasks.poll()) {
             runGuarded(task);
         }
@@ -131,7 +131,7 @@
     }
 
     /** Runs a task on the loop's thread; may be called from any thread. */
-    public void onLoop(Runnable task) {
+    public void execute(Runnable task) {
         externalTasks.add(task);
         selector.wakeup();
     }
@@ -238,7 +238,7 @@
         }
 
         /** Writes the output of its connections once a turn from now on: fewer system calls, up to one turn of delay. */
-        public Listener batched() {
+        public Listener batchWrites() {
             batchesWrites = true;
             return this;
         }
@@ -277,7 +277,7 @@
                 acceptFailingSinceMs =
                         Double.isNaN(acceptFailingSinceMs) ? lastAcceptFailureMs - lagMs() : acceptFailingSinceMs;
                 pauseAccepting();
-                wheel.at(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
+                wheel.schedule(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
             }
         }
 
@@ -288,7 +288,7 @@
             counters.count("net.accepted");
             connection.handler.opened();
             connection.waitedMs = waitedMs();
-            connection.look(); // reads its first bytes before a connection is shed for the next one
+            connection.readAvailable(); // reads its first bytes before a connection is shed for the next one
             connection.waitedMs = 0; // later bytes have not waited in the backlog
         }
 
@@ -311,7 +311,7 @@
                 counters.count("net.full");
                 pauseAccepting();
                 // A connection that closes resumes accepting; the timer retries for one that can be shed only later.
-                wheel.at(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
+                wheel.schedule(clock.nowMs() + ACCEPT_RETRY_MS, this::resumeAccepting);
                 return null;
             }
             return channel.accept();
@@ -437,7 +437,7 @@
                 if (count == END_OF_STREAM) {
                     handleEnd();
                 } else if (count > 0 && !finishing) {
-                    handler.bytes(buffer.flip());
+                    handler.received(buffer.flip());
                 }
             } catch (RuntimeException | VirtualMachineError e) {
                 handleEnd();
@@ -466,7 +466,7 @@
         }
 
         @Override
-        public void look() {
+        public void readAvailable() {
             if (connected && !closed && !paused) {
                 readFromSocket();
             }
@@ -561,7 +561,7 @@
                 if (listener != null) {
                     listener.lingeringConnections.add(this);
                 }
-                wheel.at(clock.nowMs() + LINGER_MS, this::closeSocket);
+                wheel.schedule(clock.nowMs() + LINGER_MS, this::closeSocket);
             } catch (IOException e) {
                 closeSocket();
             }
@@ -584,7 +584,7 @@
         }
 
         @Override
-        public double waitedMs() {
+        public double backlogWaitMs() {
             return waitedMs;
         }
 
@@ -642,7 +642,7 @@
         }
 
         @Override
-        public void cut() {
+        public void closeNow() {
             closeSocket();
         }
 
--- a/src/main/java/plumpost/peers/Fleet.java
+++ b/src/main/java/plumpost/peers/Fleet.java
@@ -20,7 +20,7 @@
     record Job(String id, String function, String unique, byte[] body, double atMs, boolean repeatable) {}
 
     /** The answer to a request: agreed on, refused by the fleet, or not known, as no majority answered in time. */
-    record Said(boolean agreed, boolean known, String words) {}
+    record Reply(boolean agreed, boolean known, String detail) {}
 
     /** Creates fleets; loaded by name, since its libraries are on no class path while peers are off. */
     interface Maker {
@@ -40,16 +40,16 @@
     void begin();
 
     /** Bans a route node by hand for the whole fleet, or lifts the ban. */
-    void ban(String node, boolean banned, Consumer<Said> callback);
+    void ban(String node, boolean banned, Consumer<Reply> callback);
 
-    /** Plans a job; if agreed the words are its id, or that of the job that is already planned with the same key. */
-    void plan(Job job, Consumer<Said> callback);
+    /** Schedules a job; if agreed the detail is its id, or that of the job already planned with the same key. */
+    void plan(Job job, Consumer<Reply> callback);
 
     /** The ledger of covered orders, or null if the configuration covers none. */
     Ledger ledger();
 
     /** Cancels a planned job that has not been assigned to any scheduler. */
-    void callOff(String id, Consumer<Said> callback);
+    void callOff(String id, Consumer<Reply> callback);
 
     /** Returns the planned job with this id that is not over, as far as is known here, or null. */
     Job planned(String id);
@@ -64,13 +64,13 @@
     boolean fired(String id);
 
     /** A job that was assigned to this scheduler has ended, or comes back unstarted and is to run elsewhere. */
-    void ended(String id, boolean unstarted);
+    void onJobEnded(String id, boolean unstarted);
 
     /** Whether the content of its data directory has been read: nothing may be served before. */
     boolean ready();
 
     /** Discovery sent this process a line of the node list. */
-    void heard(String line, long seq, boolean whole);
+    void onDiscoveryLine(String line, long seq, boolean whole);
 
     /** The scheduler shuts down: its duties are passed on at once. */
     void stop();
@@ -79,5 +79,5 @@
     void idle();
 
     /** Whether it has left the fleet and closed the log. */
-    boolean quiet();
+    boolean closed();
 }
--- a/src/main/java/plumpost/peers/Host.java
+++ b/src/main/java/plumpost/peers/Host.java
@@ -11,7 +11,7 @@
     Collection<String> functions();
 
     /**
-     * Submits a job that is assigned to this scheduler; its end is reported by {@link Fleet#ended}. Returns false if it
+     * Submits a job that is assigned to this scheduler; its end is reported by {@link Fleet#onJobEnded}. Returns false if it
      * cannot be accepted now, in which case no worker has it.
      */
     boolean run(Fleet.Job job);
@@ -20,11 +20,11 @@
     void callBack(String id);
 
     /** Delivers one line of the node list, as reported by the owner of the discovery duty. */
-    void told(String line);
+    void onNodeListLine(String line);
 
     /** Sets whether this scheduler queries discovery itself from now on, and whether it requests the whole list anew. */
-    void ask(boolean itself, boolean whole);
+    void setDiscoveryQueries(boolean itself, boolean whole);
 
     /** Whether discovery answers the queries of this process. */
-    boolean hears();
+    boolean discoveryAnswers();
 }
--- a/src/main/java/plumpost/peers/Ledger.java
+++ b/src/main/java/plumpost/peers/Ledger.java
@@ -43,7 +43,7 @@
     }
 
     /** An order's stage and its result, empty before its end. */
-    record Known(String id, Stage stage, byte[] result) {
+    record OrderStatus(String id, Stage stage, byte[] result) {
         /** Whether the order has its final answer. */
         public boolean ended() {
             return stage.ordinal() >= Stage.SERVED.ordinal();
@@ -51,7 +51,7 @@
     }
 
     /** The reports on an order. */
-    enum Word {
+    enum Report {
         /** The lease was not used: no worker has the order. */
         HANDED_BACK,
         /** Its worker returned a result. */
@@ -75,26 +75,26 @@
         void drop(String id);
 
         /** An order has its final answer, which goes to the clients that wait for it here. */
-        void ended(Known order);
+        void ended(OrderStatus order);
 
         /** The number of further orders that it could hold. */
-        int room();
+        int capacity();
     }
 
     /** Whether the configuration covers a class. */
     boolean covers(String className);
 
     /** Sets the front that holds orders from now on. */
-    void at(Holder holder);
+    void setHolder(Holder holder);
 
     /** Accepts an order; if agreed the words are its handle, or that of the order already known with the same key. */
-    void take(Order order, Consumer<Fleet.Said> callback);
+    void take(Order order, Consumer<Fleet.Reply> callback);
 
     /** Returns the status of the order with this handle, or null. */
-    Known known(String id);
+    OrderStatus status(String id);
 
     /** Returns the status of the order with this function and client's key, or null. */
-    Known known(String function, String unique);
+    OrderStatus status(String function, String unique);
 
     /**
      * Requests the right to hand an order out once. The callback receives whether it was granted; it is not if another
@@ -106,5 +106,5 @@
     void tryAgain(String id);
 
     /** Reports on an order, by the scheduler that holds it or that received its worker's report. */
-    void told(String id, Word word, byte[] result);
+    void report(String id, Report report, byte[] result);
 }
--- a/src/main/java/plumpost/platform/AbsentLink.java
+++ b/src/main/java/plumpost/platform/AbsentLink.java
@@ -23,5 +23,5 @@
     }
 
     @Override
-    public void leave() {}
+    public void closeIdle() {}
 }
--- a/src/main/java/plumpost/platform/ClientConnection.java
+++ b/src/main/java/plumpost/platform/ClientConnection.java
@@ -5,11 +5,11 @@
 import plumpost.config.Json.BadInput;
 import plumpost.decision.Dispatcher.JobClass;
 import plumpost.dispatch.DispatchCore;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.dispatch.OpenJob;
 import plumpost.dispatch.ReplyTo;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -76,12 +76,12 @@
 
     /** Returns whether a request has begun and is not complete. */
     boolean readingRequest() {
-        return reader.midway();
+        return reader.isIncomplete();
     }
 
     /** Returns whether there is neither an open request nor any byte of another. */
     boolean idle() {
-        return !requestOpen && !reader.midway() && !pipelined.hasRemaining();
+        return !requestOpen && !reader.isIncomplete() && !pipelined.hasRemaining();
     }
 
     /** Returns whether nothing has been received on the connection yet. */
@@ -91,7 +91,7 @@
 
     /** Returns whether the client is expected to send the rest of a request, or its first one. */
     boolean awaitsRequestBytes() {
-        return !requestOpen && (reader.midway() || !answered);
+        return !requestOpen && (reader.isIncomplete() || !answered);
     }
 
     /** Returns whether all answers have been written to the socket. */
@@ -113,7 +113,7 @@
         if (requestOpen || pipelined.hasRemaining()) {
             return NEVER_SHED;
         }
-        if (reader.midway()) {
+        if (reader.isIncomplete()) {
             return stateAgeMs() > HALF_REQUEST_MS ? 2 : NEVER_SHED;
         }
         if (!answered) {
@@ -128,7 +128,7 @@
     // ---- reading ----
 
     @Override
-    public void bytes(ByteBuffer received) {
+    public void received(ByteBuffer received) {
         if (requestOpen || pipelined.hasRemaining()) {
             buffer(received);
         } else {
@@ -153,7 +153,7 @@
         input = received;
         try {
             while (!closed && !requestOpen && hasMore()) {
-                if (!reader.midway() && answered) {
+                if (!reader.isIncomplete() && answered) {
                     stateSinceMs = nowMs(); // the time of the first request counts from the connect
                 }
                 if (reader.feed(input)) {
@@ -161,10 +161,10 @@
                     handleRequest();
                 } else if (!continueSent && reader.awaitsContinue()) {
                     continueSent = true;
-                    connection.write(Answers.ascii("HTTP/1.1 100 Continue\r\n\r\n"));
+                    connection.write(AnswerEncoder.ascii("HTTP/1.1 100 Continue\r\n\r\n"));
                 }
             }
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             reject(e.status(), e.getMessage());
         } finally {
             parsing = false;
@@ -198,7 +198,7 @@
             buffer(input); // ahead of the bytes that are read now
         }
         if (!closed) {
-            connection.look();
+            connection.readAvailable();
         }
         return closed;
     }
@@ -212,7 +212,8 @@
             case "/health/ready" -> requireGet(() -> answer(front.reportsReady() ? 200 : 503, EMPTY, "", false));
             case "/health/live" -> requireGet(() -> answer(200, EMPTY, "", false));
             case "/counters" ->
-                requireGet(() -> answer(200, Answers.ascii(context.counters().toString()), "", false));
+                requireGet(
+                        () -> answer(200, AnswerEncoder.ascii(context.counters().toString()), "", false));
             default -> submit(path);
         }
     }
@@ -232,7 +233,7 @@
 
     private void submit(String path) {
         int end = path.indexOf('/', 1);
-        int classIndex = core.offered(path.substring(1, end < 0 ? path.length() : end));
+        int classIndex = core.findOfferedClass(path.substring(1, end < 0 ? path.length() : end));
         if (classIndex < 0) {
             reject(404, "no such class");
             return;
@@ -241,16 +242,16 @@
             rejectMethod("POST");
             return;
         }
-        JobRequest request;
+        JobSpec request;
         try {
             JobClass jobClass = core.settings().classes().get(classIndex);
-            double unreadMs = Math.max(front.unreadMs(), connection.waitedMs());
+            double unreadMs = Math.max(front.unreadMs(), connection.backlogWaitMs());
             request = JobRequestReader.read(reader, classIndex, jobClass, unreadMs);
         } catch (BadInput e) {
             reject(400, "malformed field: " + e.getMessage());
             return;
         }
-        if (core.entry(request.id()) != null) {
+        if (core.findJob(request.id()) != null) {
             reject(409, "a job of this id is open");
         } else if (clientDisconnected()) {
             context.counters().count("front.gone_before");
@@ -262,14 +263,14 @@
         }
     }
 
-    private void submit(JobRequest request) {
+    private void submit(JobSpec request) {
         front.jobSubmitted();
         hasSubmittedJob = true;
         jobTakenAtMs = nowMs();
-        OpenJob taken = core.take(request, this);
+        OpenJob taken = core.submit(request, this);
         job = requestOpen ? taken : null; // the core may have answered it already
         if (closed && job != null) {
-            core.gone(job, this); // the client left while the core was taking the job
+            core.removeClient(job, this); // the client left while the core was taking the job
         }
     }
 
@@ -277,17 +278,17 @@
     void reject(int status, String reason) {
         context.counters().count("front.bad." + status);
         requestOpen = true;
-        answer(status, Answers.ascii(reason), "", true);
+        answer(status, AnswerEncoder.ascii(reason), "", true);
     }
 
     /** Answers the open job, or refuses an incomplete request, because SIGKILL may follow soon. */
     void endForShutdown() {
         if (job != null) {
             context.log()
-                    .accept("last call: " + job.sheet().id() + " is answered, taken "
+                    .accept("last call: " + job.spec().id() + " is answered, taken "
                             + Math.round(nowMs() - jobTakenAtMs) + " ms ago");
-            core.cutShort(job);
-        } else if (reader.midway()) {
+            core.endBeforeStop(job);
+        } else if (reader.isIncomplete()) {
             context.counters().count("front.half_at_end");
             requestOpen = true;
             answer(503, EMPTY, "", true); // it was not accepted, so the client may send it elsewhere
@@ -315,8 +316,8 @@
     }
 
     @Override
-    public void look() {
-        connection.look();
+    public void pollConnection() {
+        connection.readAvailable();
     }
 
     private void answer(int status, ByteBuffer body, String fields, boolean close) {
@@ -325,20 +326,21 @@
         }
         context.counters().count("front.answers." + status);
         // Buffered requests are answered before the connection is closed.
-        boolean closing = close || front.closesAfterAnswers() && !pipelined.hasRemaining() || reader.closes();
+        boolean closing = close || front.closesAfterAnswers() && !pipelined.hasRemaining() || reader.closesConnection();
         requestOpen = false;
         answered = true;
         continueSent = false;
         job = null;
         stateSinceMs = nowMs();
-        connection.write(Answers.head(status, body.remaining(), closing, fields), body.duplicate());
+        connection.write(AnswerEncoder.head(status, body.remaining(), closing, fields), body.duplicate());
         if (closing) {
             finish();
             return;
         }
-        reader.next();
+        reader.reset();
         if (!parsing && pipelined.hasRemaining()) {
-            context.wheel().at(nowMs(), () -> read(takePipelined())); // not within the core's call for the last answer
+            context.wheel()
+                    .schedule(nowMs(), () -> read(takePipelined())); // not within the core's call for the last answer
         }
     }
 
@@ -357,7 +359,7 @@
         reportOpenJob();
         closed = true;
         front.remove(this);
-        connection.cut();
+        connection.closeNow();
     }
 
     /** Tells the core that the connection is closed before its open job was answered. */
@@ -372,7 +374,7 @@
         closed = true;
         front.remove(this);
         if (job != null) {
-            core.gone(job, this);
+            core.removeClient(job, this);
         }
     }
 }
--- a/src/main/java/plumpost/platform/DiscoveryCall.java
+++ b/src/main/java/plumpost/platform/DiscoveryCall.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import plumpost.config.Json;
 import plumpost.config.Json.BadInput;
+import plumpost.config.JsonObjectStream;
 import plumpost.config.NodeListReader;
-import plumpost.config.ObjectStream;
+import plumpost.http.AnswerEncoder;
 import plumpost.http.AnswerReader;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 import plumpost.net.LoopContext;
@@ -56,7 +56,7 @@
         void unchanged(DiscoveryCall call);
 
         /** A whole list or changes have arrived; {@code text} is the JSON object as received. */
-        void listed(DiscoveryCall call, NodeListReader.Listing listing, String text);
+        void listed(DiscoveryCall call, NodeListReader.NodeListUpdate update, String text);
 
         /** Nothing has arrived for longer than the protocol allows; the call stays open. */
         void silent(DiscoveryCall call);
@@ -71,7 +71,7 @@
     private final InetSocketAddress service;
     private final long since;
     private final AnswerReader response;
-    private final ObjectStream objects;
+    private final JsonObjectStream objects;
     private final Connection connection;
     private TimerWheel.Timer silenceTimer;
     private double lastReceivedMs;
@@ -92,9 +92,9 @@
                 Integer.MAX_VALUE,
                 Math.max(MIN_LIST_LIMIT_BYTES, Runtime.getRuntime().maxMemory() / MAX_LIST_HEAP_DIVISOR));
         response = new AnswerReader(maxListBytes);
-        objects = new ObjectStream("a list", maxListBytes);
+        objects = new JsonObjectStream("a list", maxListBytes);
         connection = context.network().dial(service, opened -> this);
-        context.wheel().at(context.clock().nowMs() + CONNECT_TIMEOUT_MS, this::checkConnected);
+        context.wheel().schedule(context.clock().nowMs() + CONNECT_TIMEOUT_MS, this::checkConnected);
     }
 
     private void checkConnected() {
@@ -113,11 +113,11 @@
         connected = true;
         String path = "/registry/instances?follow=1" + (since == WHOLE_LIST ? "" : "&since=" + since);
         String host = service.getHostString() + ':' + service.getPort();
-        connection.write(Answers.ascii("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
+        connection.write(AnswerEncoder.ascii("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n"));
     }
 
     @Override
-    public void bytes(ByteBuffer received) {
+    public void received(ByteBuffer received) {
         try {
             boolean complete = response.feed(received);
             if (!response.hasHead()) {
@@ -127,11 +127,11 @@
                 fail(Failure.REFUSED, "status " + response.status());
                 return;
             }
-            readBody(response.take());
+            readBody(response.takeBody());
             if (complete) {
                 fail(Failure.ENDED, "ended");
             }
-        } catch (BadMessage | BadInput e) {
+        } catch (BadMessageException | BadInput e) {
             context.counters().count("list.malformed");
             fail(Failure.MALFORMED, "malformed: " + e.getMessage());
         }
@@ -146,7 +146,7 @@
             answered = true;
             watchForSilence();
             if (since != WHOLE_LIST) {
-                context.wheel().at(lastReceivedMs + NO_CHANGES_MS, this::checkUnchanged);
+                context.wheel().schedule(lastReceivedMs + NO_CHANGES_MS, this::checkUnchanged);
             }
             listener.answered(this);
         }
@@ -154,7 +154,7 @@
     }
 
     private void checkUnchanged() {
-        if (!closed && !listed && !objects.midway()) {
+        if (!closed && !listed && !objects.isIncomplete()) {
             listener.unchanged(this);
         }
     }
@@ -163,17 +163,17 @@
         if (closed) {
             return;
         }
-        NodeListReader.Listing listing = reader.read(fields);
-        if (!listing.whole() && !listed && listing.seq() < since) {
-            fail(Failure.VERSION_WENT_BACK, "changes numbered " + listing.seq() + " after version " + since);
+        NodeListReader.NodeListUpdate update = reader.read(fields);
+        if (!update.complete() && !listed && update.version() < since) {
+            fail(Failure.VERSION_WENT_BACK, "changes numbered " + update.version() + " after version " + since);
             return;
         }
         listed = true;
-        listener.listed(this, listing, new String(text, StandardCharsets.UTF_8).strip());
+        listener.listed(this, update, new String(text, StandardCharsets.UTF_8).strip());
     }
 
     private void watchForSilence() {
-        silenceTimer = context.wheel().at(lastReceivedMs + MAX_SILENCE_MS, () -> {
+        silenceTimer = context.wheel().schedule(lastReceivedMs + MAX_SILENCE_MS, () -> {
             if (context.clock().nowMs() - lastReceivedMs >= MAX_SILENCE_MS) {
                 listener.silent(this);
             } else {
@@ -200,6 +200,6 @@
         if (silenceTimer != null) {
             silenceTimer.cancel();
         }
-        connection.cut();
+        connection.closeNow();
     }
 }
--- a/src/main/java/plumpost/platform/HttpFront.java
+++ b/src/main/java/plumpost/platform/HttpFront.java
@@ -46,7 +46,7 @@
         this.context = context;
         this.unreadTime = unreadTime;
         this.nodeListWatch = nodeListWatch;
-        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
+        context.wheel().schedule(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
     }
 
     /** Creates the handler of a new connection. */
@@ -75,15 +75,15 @@
                 .max()
                 .orElse(0);
         ShutdownSchedule schedule = ShutdownSchedule.compute(signalHandledAtMs, longestDeadlineMs);
-        context.wheel().at(schedule.closeIdleAtMs(), this::closeIdle);
-        context.wheel().at(schedule.lastCallAtMs(), this::lastCall);
+        context.wheel().schedule(schedule.closeIdleAtMs(), this::closeIdle);
+        context.wheel().schedule(schedule.lastCallAtMs(), this::lastCall);
     }
 
     /** Closes idle connections; the others are closed after their next answer. */
     private void closeIdle() {
         closingIdle = true;
         for (ClientConnection client : List.copyOf(connections)) {
-            client.look(); // a request that has already arrived is served
+            client.pollConnection(); // a request that has already arrived is served
             if (connections.contains(client) && client.idle()) {
                 client.finish();
             }
@@ -96,9 +96,10 @@
      */
     private void lastCall() {
         lastCallDone = true;
-        context.log().accept("last call: " + core.open() + " jobs open, " + connections.size() + " connections");
+        context.log()
+                .accept("last call: " + core.openJobCount() + " jobs open, " + connections.size() + " connections");
         for (ClientConnection client : List.copyOf(connections)) {
-            client.look(); // requests that have already arrived are read and refused, not lost by SIGKILL
+            client.pollConnection(); // requests that have already arrived are read and refused, not lost by SIGKILL
             if (connections.contains(client)) {
                 client.endForShutdown();
             }
@@ -114,10 +115,10 @@
 
     /** Closes connections that are slow, have never sent anything, do not read their answer or have idled for too long. */
     private void sweep() {
-        context.wheel().at(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
+        context.wheel().schedule(context.clock().nowMs() + SWEEP_INTERVAL_MS, this::sweep);
         for (ClientConnection client : List.copyOf(connections)) {
             if (client.stateAgeMs() > (client.awaitsRequestBytes() ? MAX_REQUEST_MS : MAX_IDLE_MS)) {
-                client.look(); // reads what has already arrived
+                client.pollConnection(); // reads what has already arrived
             }
             if (connections.contains(client) && !client.awaitsAnswer()) {
                 sweep(client);
@@ -144,7 +145,7 @@
     /** Closes the least important connection to make room for a new one; returns false if none may be closed. */
     boolean shed() {
         for (ClientConnection client = leastImportant(); client != null; client = leastImportant()) {
-            client.look();
+            client.pollConnection();
             if (!connections.contains(client)) {
                 return true;
             }
--- a/src/main/java/plumpost/platform/JobRequestReader.java
+++ b/src/main/java/plumpost/platform/JobRequestReader.java
@@ -7,7 +7,7 @@
 import plumpost.config.Json.Fields;
 import plumpost.config.LoadReports;
 import plumpost.decision.Dispatcher.JobClass;
-import plumpost.dispatch.JobRequest;
+import plumpost.dispatch.JobSpec;
 import plumpost.http.Head;
 import plumpost.http.RequestReader;
 import plumpost.time.TimerWheel;
@@ -40,9 +40,9 @@
      * @param jobClass that class in the current settings
      * @param unreadMs how long the request may have waited unread; it is subtracted from the client's remaining time
      */
-    static JobRequest read(RequestReader request, int classIndex, JobClass jobClass, double unreadMs) {
+    static JobSpec read(RequestReader request, int classIndex, JobClass jobClass, double unreadMs) {
         Head head = request.head();
-        String id = head.only(ID);
+        String id = head.singleField(ID);
         if (id == null || !id.matches(ID_PATTERN)) {
             throw new BadInput(ID);
         }
@@ -53,18 +53,20 @@
         String labels = head.field(LABELS);
         Fields labelFields = new Fields(
                 LABELS,
-                labels == null || labels.isBlank() ? Map.of() : LoadReports.pairs(labels.toLowerCase(Locale.ROOT)));
+                labels == null || labels.isBlank()
+                        ? Map.of()
+                        : LoadReports.parsePairs(labels.toLowerCase(Locale.ROOT)));
         double slots = labelFields.number("slots", labelFields.number("needs", 1));
         if (!(slots > 0 && slots <= MAX_SLOTS)) {
             throw new BadInput(LABELS + " has " + slots + " slots");
         }
         double remaining = Math.min(number(head, REMAINING, jobClass.deadlineMs()), jobClass.deadlineMs());
         double costMs = Math.min(number(head, ESTIMATE, Double.NaN) / MICROS_PER_MS, jobClass.deadlineMs());
-        return new JobRequest(
+        return new JobSpec(
                 id,
                 classIndex,
                 request.target(),
-                head.passedOn(REPLACED_FIELDS),
+                head.forwardedFields(REPLACED_FIELDS),
                 request.body(),
                 unreadMs > TimerWheel.TICK_MS ? remaining - unreadMs : remaining,
                 costMs,
@@ -74,7 +76,7 @@
                 key(head),
                 "1".equals(head.field(RETRY)),
                 null,
-                new JobRequest.Work(classIndex, null, null, null, 0, Double.NaN));
+                new JobSpec.Work(classIndex, null, null, null, 0, Double.NaN));
     }
 
     private static double number(Head head, String field, double defaultValue) {
--- a/src/main/java/plumpost/platform/NodeListWatch.java
+++ b/src/main/java/plumpost/platform/NodeListWatch.java
@@ -58,7 +58,7 @@
     private InetSocketAddress service;
     private long version = DiscoveryCall.WHOLE_LIST;
     /** The list saved in the file while it is not used yet, or null. */
-    private NodeListReader.Listing withheld;
+    private NodeListReader.NodeListUpdate withheld;
     /** Whether any list has been passed to the core. */
     private boolean published;
     /** The call whose answer delivers changes, or null. */
@@ -99,15 +99,16 @@
      * long ago and the protocol's time limit also holds for a new process. It is used without an answer after
      * {@link #MAX_FIRST_LIST_WAIT_MS}, as soon as discovery proves unreachable, or if it cannot be old.
      */
-    void start(NodeListReader.Listing saved) {
+    void start(NodeListReader.NodeListUpdate saved) {
         if (service != null && saved != null && !published) {
             withheld = saved;
-            saved.lines().forEach(line -> core.named(line.entry().id()));
+            saved.lines().forEach(line -> core.rememberNode(line.entry().id()));
             if (core.settings().listOnRequest()) {
-                version = saved.seq();
+                version = saved.version();
             }
             context.wheel()
-                    .at(context.clock().nowMs() + MAX_FIRST_LIST_WAIT_MS, () -> serveSavedList("no list in time"));
+                    .schedule(
+                            context.clock().nowMs() + MAX_FIRST_LIST_WAIT_MS, () -> serveSavedList("no list in time"));
         }
         watchAfterRandomDelay();
     }
@@ -127,7 +128,7 @@
     private void watchAfterRandomDelay() {
         double spreadMs = maxRandomDelayMs();
         if (spreadMs > 0) {
-            context.wheel().at(context.clock().nowMs() + random.nextDouble() * spreadMs, this::watch);
+            context.wheel().schedule(context.clock().nowMs() + random.nextDouble() * spreadMs, this::watch);
         } else {
             watch();
         }
@@ -169,7 +170,7 @@
         context.counters().count("list.asked");
         DiscoveryCall opened = new DiscoveryCall(context, reader, service, version, this);
         pendingCall = opened;
-        context.wheel().at(context.clock().nowMs() + SECOND_CALL_AFTER_MS, () -> {
+        context.wheel().schedule(context.clock().nowMs() + SECOND_CALL_AFTER_MS, () -> {
             if (opened == pendingCall) {
                 closeOverdue();
                 overdueCall = opened;
@@ -208,11 +209,11 @@
     /** Applies a list line that another scheduler of the fleet has received from discovery. */
     void applyFleetLine(String line) {
         try {
-            NodeListReader.Listing listing =
+            NodeListReader.NodeListUpdate update =
                     reader.read(Json.object("a list line", line.getBytes(StandardCharsets.UTF_8)));
-            version = listing.seq();
+            version = update.version();
             context.counters().count("list.followed");
-            publish(listing);
+            publish(update);
         } catch (BadInput e) {
             context.counters().count("list.malformed");
             context.log().accept("node list line from the fleet: " + e.getMessage());
@@ -237,35 +238,36 @@
         watch();
     }
 
-    private void publish(NodeListReader.Listing listing) {
-        if (listing.whole()) {
-            publish(ListMode.FULL, listing);
+    private void publish(NodeListReader.NodeListUpdate update) {
+        if (update.complete()) {
+            publish(ListMode.FULL, update);
         } else if (withheld != null) {
-            publish(ListMode.FULL, applyChanges(withheld, listing));
+            publish(ListMode.FULL, applyChanges(withheld, update));
         } else {
-            publish(ListMode.INCREMENTAL, listing);
+            publish(ListMode.INCREMENTAL, update);
         }
     }
 
     /** Returns a whole list with changes applied to it. */
-    private static NodeListReader.Listing applyChanges(NodeListReader.Listing whole, NodeListReader.Listing changes) {
-        Map<String, NodeListReader.Line> byNode = new LinkedHashMap<>();
+    private static NodeListReader.NodeListUpdate applyChanges(
+            NodeListReader.NodeListUpdate whole, NodeListReader.NodeListUpdate changes) {
+        Map<String, NodeListReader.NodeLine> byNode = new LinkedHashMap<>();
         whole.lines().forEach(line -> byNode.put(line.entry().id(), line));
         changes.lines().forEach(line -> byNode.put(line.entry().id(), line));
-        return new NodeListReader.Listing(changes.seq(), true, List.copyOf(byNode.values()));
+        return new NodeListReader.NodeListUpdate(changes.version(), true, List.copyOf(byNode.values()));
     }
 
-    private void publish(ListMode mode, NodeListReader.Listing listing) {
+    private void publish(ListMode mode, NodeListReader.NodeListUpdate update) {
         withheld = null;
         published = true;
         List<ListedNode> listedNodes = new ArrayList<>();
-        for (NodeListReader.Line line : listing.lines()) {
-            NodeLink link = line.dial() == null ? AbsentLink.LINK : workerLinks.find(line.dial());
+        for (NodeListReader.NodeLine line : update.lines()) {
+            NodeLink link = line.address() == null ? AbsentLink.LINK : workerLinks.find(line.address());
             if (mode == ListMode.INCREMENTAL || line.entry().phase() != Phase.DELETED) {
                 listedNodes.add(new ListedNode(line.entry(), link));
             }
         }
-        core.listed(this, mode, listedNodes);
+        core.applyList(this, mode, listedNodes);
     }
 
     // ---- events of calls ----
@@ -287,14 +289,14 @@
     }
 
     @Override
-    public void listed(DiscoveryCall call, NodeListReader.Listing listing, String text) {
+    public void listed(DiscoveryCall call, NodeListReader.NodeListUpdate update, String text) {
         if (call == activeWatch) {
-            version = listing.seq();
+            version = update.version();
             closeFormer();
         }
-        publish(listing);
+        publish(update);
         if (fleetListener != null && call == activeWatch) {
-            fleetListener.lineReceived(text, listing.seq(), listing.whole());
+            fleetListener.lineReceived(text, update.version(), update.complete());
         }
     }
 
@@ -326,7 +328,7 @@
             serveSavedList("discovery cannot be reached");
         }
         if (askAgain) {
-            core.listed(this, ListMode.FAILED, List.of());
+            core.applyList(this, ListMode.FAILED, List.of());
         }
     }
 
--- a/src/main/java/plumpost/platform/Platform.java
+++ b/src/main/java/plumpost/platform/Platform.java
@@ -29,7 +29,7 @@
         this.core = core;
         this.context = context;
         int nodeConnections = config.sockets() / 3;
-        reader = new NodeListReader(config.raw(), new WorkerStartTimes(context.unixTime()), reason -> {
+        reader = new NodeListReader(config.rawSettings(), new WorkerStartTimes(context.unixTime()), reason -> {
             context.counters().count("list.malformed_line");
             context.log().accept("malformed node list line: " + reason);
         });
@@ -60,7 +60,7 @@
                                 false,
                                 MAX_UNREAD_BYTES,
                                 this::shed);
-        begin();
+        start();
         return address;
     }
 
@@ -76,18 +76,18 @@
     }
 
     /** Requests the node list from discovery; the saved list is used only if discovery sends none in time. */
-    public void begin() {
+    public void start() {
         core.add(watch);
         watch.start(savedList());
     }
 
     /** Returns the node list saved in the file, or null if there is none that can be read; discovery sends the current one. */
-    private NodeListReader.Listing savedList() {
-        if (!config.known().has("seq")) {
+    private NodeListReader.NodeListUpdate savedList() {
+        if (!config.lastNodeList().has("seq")) {
             return null;
         }
         try {
-            return reader.read(config.known());
+            return reader.read(config.lastNodeList());
         } catch (BadInput e) {
             context.counters().count("list.malformed");
             context.log().accept("the saved node list is ignored: " + e.getMessage());
@@ -96,7 +96,7 @@
     }
 
     /** Applies one line of the node list that another scheduler of the fleet has received from discovery. */
-    public void told(String line) {
+    public void applyFleetLine(String line) {
         watch.applyFleetLine(line);
     }
 
@@ -104,17 +104,17 @@
      * Sets whether this scheduler itself is to watch discovery, in a fleet that has an owner for that; {@code wholeList} requests
      * the whole list again.
      */
-    public void ask(boolean enabled, boolean wholeList) {
+    public void setAsking(boolean enabled, boolean wholeList) {
         watch.setAsking(enabled, wholeList);
     }
 
     /** Returns whether this scheduler has a watch on discovery that is answered and not silent. */
-    public boolean hears() {
+    public boolean isListening() {
         return watch.isListening();
     }
 
     /** Lets the fleet decide from now on which scheduler watches discovery, and passes it each line received here. */
-    public void in(NodeListWatch.Listener fleet) {
+    public void joinFleet(NodeListWatch.Listener fleet) {
         watch.joinFleet(fleet);
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Returns whether no saved node list is being withheld until discovery answers. */
-    public boolean listed() {
+    public boolean mayServe() {
         return watch.mayServe();
     }
 
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public boolean quiet() {
+    public boolean isIdle() {
         return front.quiet();
     }
 }
--- a/src/main/java/plumpost/platform/ShutdownSchedule.java
+++ b/src/main/java/plumpost/platform/ShutdownSchedule.java
@@ -20,11 +20,11 @@
     /** The JVM calls a signal handler 20 to 40 ms after the signal on a small share of a core. */
     private static final double MAX_SIGNAL_HANDLER_DELAY_MS = 50;
     /** The longest time from the sending of SIGTERM to its handling. */
-    private static final double MAX_SIGNAL_DELAY_MS = HoldUp.MS + MAX_SIGNAL_HANDLER_DELAY_MS;
+    private static final double MAX_SIGNAL_DELAY_MS = HoldUp.MAX_HOLD_UP_MS + MAX_SIGNAL_HANDLER_DELAY_MS;
     /** The time that a written answer may take to its client. */
     private static final double ANSWER_DELIVERY_MS = 100;
     /** The turn of the last call may be delayed, and its writes once more. */
-    private static final double LAST_CALL_BEFORE_KILL_MS = 2 * HoldUp.MS + ANSWER_DELIVERY_MS;
+    private static final double LAST_CALL_BEFORE_KILL_MS = 2 * HoldUp.MAX_HOLD_UP_MS + ANSWER_DELIVERY_MS;
     /** Jobs taken just before idle connections are closed still have this time to finish. */
     private static final double CLOSE_IDLE_BEFORE_LAST_CALL_MS = 800;
 
--- a/src/main/java/plumpost/platform/WarmUp.java
+++ b/src/main/java/plumpost/platform/WarmUp.java
@@ -9,8 +9,8 @@
 import plumpost.config.NodeConfig;
 import plumpost.count.Counters;
 import plumpost.dispatch.DispatchCore;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.AnswerEncoder;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -32,7 +32,7 @@
     private double nowMs = 1;
 
     /** Runs the warm-up; returns the number of jobs answered with status 200. */
-    public static long play(NodeConfig config) {
+    public static long run(NodeConfig config) {
         return new WarmUp().serveJobs(config);
     }
 
@@ -44,7 +44,7 @@
                 1,
                 1024,
                 original.settings(),
-                original.raw(),
+                original.rawSettings(),
                 Json.object("rehearsal", NODE_LIST.getBytes(StandardCharsets.US_ASCII)),
                 null,
                 null,
@@ -61,7 +61,7 @@
                 line -> {});
         Platform platform =
                 new Platform(config, core, new LoopContext(this, () -> nowMs, wheel, counters, line -> {}), () -> 0);
-        platform.begin();
+        platform.start();
         MemoryConnection client = new MemoryConnection();
         ConnectionHandler handler = platform.accept(client);
         for (int i = 0; i < JOBS; i++) {
@@ -69,16 +69,17 @@
                     .classes()
                     .get(i % config.settings().classes().size())
                     .name();
-            handler.bytes(Answers.ascii("POST /" + className + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + i + "\r\nX-Lane: "
-                    + className + "\r\nX-Remaining-Ms: 500\r\nX-Estimate: 1000\r\nContent-Length: 4\r\n\r\nbody"));
+            handler.received(AnswerEncoder.ascii(
+                    "POST /" + className + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + i + "\r\nX-Lane: " + className
+                            + "\r\nX-Remaining-Ms: 500\r\nX-Estimate: 1000\r\nContent-Length: 4\r\n\r\nbody"));
             for (double roundEndMs = nowMs + 20; nowMs < roundEndMs; nowMs += TimerWheel.TICK_MS) {
                 for (Runnable task = pendingTasks.poll(); task != null; task = pendingTasks.poll()) {
                     task.run();
                 }
-                wheel.turnTo(nowMs);
+                wheel.advanceTo(nowMs);
             }
         }
-        return counters.of("front.answers.200");
+        return counters.get("front.answers.200");
     }
 
     @Override
@@ -104,7 +105,7 @@
                 for (ByteBuffer part : parts) {
                     complete = reader.feed(part.duplicate());
                 }
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 throw new IllegalStateException(e);
             }
             if (!complete) {
@@ -113,9 +114,9 @@
             }
             String id = reader.head().field("X-Txn");
             String path = reader.path();
-            reader.next();
+            reader.reset();
             handler.flushed();
-            pendingTasks.add(() -> handler.bytes(Answers.ascii(
+            pendingTasks.add(() -> handler.received(AnswerEncoder.ascii(
                     id != null
                             ? progressLines(id)
                             : path.equals("/stats")
@@ -145,9 +146,9 @@
         public void finish() {}
 
         @Override
-        public void cut() {}
+        public void closeNow() {}
 
         @Override
-        public void look() {}
+        public void readAvailable() {}
     }
 }
--- a/src/main/java/plumpost/platform/WorkerLinks.java
+++ b/src/main/java/plumpost/platform/WorkerLinks.java
@@ -17,9 +17,9 @@
 import plumpost.dispatch.Attempt;
 import plumpost.dispatch.NodeLink;
 import plumpost.dispatch.Probe;
+import plumpost.http.AnswerEncoder;
 import plumpost.http.AnswerReader;
-import plumpost.http.Answers;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
 import plumpost.net.LoopContext;
@@ -108,7 +108,7 @@
         public void send(Attempt attempt) {
             // The node may reset a reused connection at the next request, and an order could then not be retried.
             WorkerConnection connection =
-                    isRepeatable(attempt) ? takeConnection(attempt.sheet().id()) : new WorkerConnection(this);
+                    isRepeatable(attempt) ? takeConnection(attempt.spec().id()) : new WorkerConnection(this);
             attempts.put(attempt, connection);
             connection.start(attempt, null);
         }
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public void leave() {
+        public void closeIdle() {
             nodes.remove(address, this);
             while (!idleConnections.isEmpty()) {
                 idleConnections.peek().close();
@@ -142,7 +142,7 @@
             for (WorkerConnection connection = idleConnections.peek();
                     connection != null;
                     connection = idleConnections.peek()) {
-                connection.connection.look();
+                connection.connection.readAvailable();
                 if (connection != idleConnections.peek()) {
                     continue;
                 }
@@ -187,13 +187,13 @@
         void start(Attempt newAttempt, Probe newProbe) {
             attempt = newAttempt;
             probe = newProbe;
-            lastJobId = newAttempt == null ? lastJobId : newAttempt.sheet().id();
+            lastJobId = newAttempt == null ? lastJobId : newAttempt.spec().id();
             requestWritten = false;
             requestFlushed = false;
-            reader.next();
+            reader.reset();
             if (newProbe != null) {
-                timeoutTimer =
-                        context.wheel().at(context.clock().nowMs() + probeTimeoutMs(), () -> endWith(Ending.TIMEOUT));
+                timeoutTimer = context.wheel()
+                        .schedule(context.clock().nowMs() + probeTimeoutMs(), () -> endWith(Ending.TIMEOUT));
             }
             if (connection == null) {
                 connect();
@@ -206,11 +206,11 @@
             if (openConnections > maxConnections && !WorkerLinks.this.closeIdleConnection()) {
                 // This process lacks connections; nothing was sent, so the ending says nothing about the node.
                 context.counters().count("nodes.no_connection");
-                context.wheel().at(context.clock().nowMs(), () -> endWith(Ending.MOOT));
+                context.wheel().schedule(context.clock().nowMs(), () -> endWith(Ending.MOOT));
                 return;
             }
             connection = context.network().dial(node.address, opened -> this);
-            context.wheel().at(context.clock().nowMs() + connectTimeoutMs(), () -> {
+            context.wheel().schedule(context.clock().nowMs() + connectTimeoutMs(), () -> {
                 if (!connected) {
                     endWith(Ending.CONNECT_FAILED);
                 }
@@ -223,7 +223,7 @@
             if (closed) {
                 return;
             }
-            if (attempt != null && !attempt.wanted()) {
+            if (attempt != null && !attempt.mayStillBeSent()) {
                 // The node began to drain while connecting: nothing has been written, and nothing will be.
                 endWith(Ending.CONNECT_FAILED);
             } else {
@@ -234,20 +234,20 @@
         private void writeRequest() {
             if (probe != null) {
                 requestWritten = true;
-                connection.write(Answers.ascii("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n"));
+                connection.write(AnswerEncoder.ascii("GET /stats HTTP/1.1\r\nHost: " + host() + "\r\n\r\n"));
                 return;
             }
-            var job = attempt.sheet();
+            var job = attempt.spec();
             ByteBuffer target = job.target() == null
-                    ? Answers.ascii('/' + attempt.jobClass().name())
+                    ? AnswerEncoder.ascii('/' + attempt.jobClass().name())
                     : job.target().duplicate();
-            ByteBuffer fields = Answers.ascii(" HTTP/1.1\r\nHost: " + host() + "\r\nX-Txn: "
+            ByteBuffer fields = AnswerEncoder.ascii(" HTTP/1.1\r\nHost: " + host() + "\r\nX-Txn: "
                     + job.id() + "\r\nX-Lane: " + attempt.jobClass().name() + "\r\nX-Remaining-Ms: "
                     + (long) Math.max(1, attempt.leftMs()) + "\r\n" + job.fields() + "Content-Length: "
                     + job.body().remaining() + "\r\n\r\n");
             if (isRepeatable(attempt)) {
                 requestWritten = true;
-                connection.write(Answers.ascii("POST "), target, fields, job.body());
+                connection.write(AnswerEncoder.ascii("POST "), target, fields, job.body());
                 lastReceivedMs = context.clock().nowMs();
                 running = false;
                 watchForSilence(attempt);
@@ -265,15 +265,15 @@
             ByteBuffer lastPart = body.hasRemaining() ? body : fields;
             ByteBuffer last = lastPart.duplicate().position(lastPart.limit() - 1);
             lastPart.limit(lastPart.limit() - 1);
-            connection.write(Answers.ascii("POST "), target, fields, body);
-            context.wheel().at(context.clock().nowMs() + LAST_BYTE_DELAY_MS, () -> {
+            connection.write(AnswerEncoder.ascii("POST "), target, fields, body);
+            context.wheel().schedule(context.clock().nowMs() + LAST_BYTE_DELAY_MS, () -> {
                 if (attempt == current) {
-                    connection.look();
+                    connection.readAvailable();
                 }
                 if (attempt != current) {
                     return;
                 }
-                if (current.wanted()) {
+                if (current.mayStillBeSent()) {
                     requestWritten = true;
                     connection.write(last);
                 } else {
@@ -284,7 +284,7 @@
 
         /** Ends a repeatable attempt with a timeout once its connection has been silent for too long. */
         private void watchForSilence(Attempt watched) {
-            context.wheel().at(context.clock().nowMs() + probeTimeoutMs(), () -> {
+            context.wheel().schedule(context.clock().nowMs() + probeTimeoutMs(), () -> {
                 if (attempt != watched) {
                     return;
                 }
@@ -310,13 +310,13 @@
         @Override
         public void flushed() {
             if (requestWritten && !requestFlushed && attempt != null) {
-                attempt.whole();
+                attempt.fullySent();
             }
             requestFlushed |= requestWritten;
         }
 
         @Override
-        public void bytes(ByteBuffer received) {
+        public void received(ByteBuffer received) {
             if (!requestWritten) {
                 // Bytes on an idle connection, or before an order is complete, answer no request.
                 endWith(Ending.CONNECT_FAILED);
@@ -343,14 +343,14 @@
                     if (!answerComplete && !closed) {
                         // The last line has come but not the end of the answer: if that never comes, the connection is
                         // closed.
-                        timeoutTimer = context.wheel().at(context.clock().nowMs() + connectTimeoutMs(), () -> {
+                        timeoutTimer = context.wheel().schedule(context.clock().nowMs() + connectTimeoutMs(), () -> {
                             context.counters().count("nodes.unended");
                             close();
                         });
                     }
                     outcome.run();
                 }
-            } catch (BadMessage | BadInput e) {
+            } catch (BadMessageException | BadInput e) {
                 context.counters().count("nodes.malformed");
                 context.log().accept("malformed answer from " + host() + ": " + e.getMessage());
                 // On a reused connection it may be a late second answer to the previous request, which is no error.
@@ -361,12 +361,12 @@
         /** Reads the progress lines received; returns the action for the final one, or null if it has not come yet. */
         private Runnable readProgressLines() {
             Attempt current = attempt;
-            for (byte[] line = reader.line(); line != null; line = reader.line()) {
+            for (byte[] line = reader.nextLine(); line != null; line = reader.nextLine()) {
                 if (line.length == 0 || line.length == 1 && line[0] == '\r') {
                     continue;
                 }
                 Fields fields = Json.object("a job's line", line);
-                if (!fields.text("id").equals(current.sheet().id())) {
+                if (!fields.text("id").equals(current.spec().id())) {
                     throw new BadInput("a line about another job");
                 }
                 LoadReport load = fields.has("load")
@@ -417,7 +417,8 @@
             String pressure = reader.head().field("X-Pressure");
             LoadReport load = pressure == null
                     ? null
-                    : LoadReports.read(Answers.ascii(pressure), settings.get().reportsFreeSlots());
+                    : LoadReports.read(
+                            AnswerEncoder.ascii(pressure), settings.get().reportsFreeSlots());
             boolean turnedAway =
                     (status == 503 || status == 504) && "1".equals(reader.head().field("X-Turned-Away"));
             return () ->
@@ -439,12 +440,12 @@
             // come.
             boolean mayBeLateAnswer = reused && reader.status() != 200;
             reused = true;
-            if (!reader.keeps() || !requestFlushed || mayBeLateAnswer) {
+            if (!reader.keepsConnection() || !requestFlushed || mayBeLateAnswer) {
                 close();
                 return;
             }
             node.idleConnections.push(this);
-            retireTimer = context.wheel().at(context.clock().nowMs() + maxIdleMs(), this::close);
+            retireTimer = context.wheel().schedule(context.clock().nowMs() + maxIdleMs(), this::close);
         }
 
         @Override
@@ -457,8 +458,8 @@
                 new WorkerConnection(node).start(null, retried);
                 return;
             }
-            if ((attempt != null || probe != null) && requestFlushed && reader.end()) {
-                bytes(ByteBuffer.allocate(0));
+            if ((attempt != null || probe != null) && requestFlushed && reader.endOfStream()) {
+                received(ByteBuffer.allocate(0));
             }
             endWith(connected && requestFlushed ? Ending.RESET : Ending.CONNECT_FAILED);
         }
@@ -490,7 +491,7 @@
             }
             node.idleConnections.remove(this);
             if (connection != null) {
-                connection.cut();
+                connection.closeNow();
             }
         }
     }
--- a/src/main/java/plumpost/platform/WorkerStartTimes.java
+++ b/src/main/java/plumpost/platform/WorkerStartTimes.java
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public double moment(String host, double bornMs) {
+    public double toLoopTime(String host, double bornMs) {
         Start known = byHost.get(host);
         if (known != null && known.bornMs == bornMs) {
             return known.moment;
         }
-        Start start = new Start(bornMs, unixTime.latestMoment(bornMs));
+        Start start = new Start(bornMs, unixTime.toLatestClockTime(bornMs));
         byHost.put(host, start);
         return start.moment;
     }
--- a/src/main/java/plumpost/time/TimerWheel.java
+++ b/src/main/java/plumpost/time/TimerWheel.java
@@ -46,7 +46,7 @@
     }
 
     /** Schedules a timer; one that is already due runs in the next tick. */
-    public Timer at(double dueMs, Runnable action) {
+    public Timer schedule(double dueMs, Runnable action) {
         Timer timer = new Timer(Math.max((long) Math.ceil(dueMs / TICK_MS), currentTick + 1), action);
         int slot = (int) (timer.dueTick % SLOT_COUNT);
         slots.get(slot).add(timer);
@@ -58,7 +58,7 @@
      * Runs the due timers, tick by tick. If timers throw, the first exception is rethrown once all others of the same tick
      * have run; later ticks are run by the next call.
      */
-    public void turnTo(double nowMs) {
+    public void advanceTo(double nowMs) {
         long targetTick = (long) Math.floor(nowMs / TICK_MS);
         while (currentTick < targetTick) {
             // Nothing can be due in a tick whose slot is empty: skip to the next occupied one.
@@ -100,7 +100,7 @@
     }
 
     /** Returns a time before which no timer is due, at most the given span from now. */
-    public double quietUntil(double nowMs, double spanMs) {
+    public double idleUntil(double nowMs, double spanMs) {
         int slot = (int) ((currentTick + 1) % SLOT_COUNT);
         int nextOccupied = occupied.nextSetBit(slot);
         long ticksAhead =
--- a/src/main/java/plumpost/time/UnixTime.java
+++ b/src/main/java/plumpost/time/UnixTime.java
@@ -79,7 +79,7 @@
      * latest time that any remembered offset allows, so that the caller takes the event to be as recent as possible. A time
      * that would be in the future is returned as now.
      */
-    public double latestMoment(double unixMs) {
+    public double toLatestClockTime(double unixMs) {
         observe();
         double nowMs = clock.nowMs();
         double latestMs = Double.NEGATIVE_INFINITY;
--- a/src/test/java/plumpost/CrowdedPeersTest.java
+++ b/src/test/java/plumpost/CrowdedPeersTest.java
@@ -18,7 +18,7 @@
 import plumpost.count.Counters;
 import plumpost.dispatch.DispatchCore;
 import plumpost.http.AnswerReader;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -66,14 +66,14 @@
             private boolean closed;
 
             @Override
-            public void bytes(ByteBuffer in) {
+            public void received(ByteBuffer in) {
                 in.position(in.limit());
                 if (callNumber == 1) {
-                    connection.cut();
+                    connection.closeNow();
                 } else if (callNumber == 2) {
                     connection.write(encode("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"));
                 } else {
-                    wheel.at(
+                    wheel.schedule(
                             now + 950,
                             () -> send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + chunk("{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts + "]}\n")));
@@ -84,7 +84,7 @@
             private void send(String text) {
                 if (!closed) {
                     connection.write(encode(text));
-                    wheel.at(now + 2_000, () -> send(chunk("\n")));
+                    wheel.schedule(now + 2_000, () -> send(chunk("\n")));
                 }
             }
 
@@ -104,21 +104,21 @@
             openConnections++;
             if (overLimit) {
                 closedOverLimit++;
-                wheel.at(now, wire::cut);
+                wheel.schedule(now, wire::closeNow);
             }
             RequestReader reader = new RequestReader(1 << 16);
             return new ConnectionHandler() {
                 private boolean closed;
 
                 @Override
-                public void bytes(ByteBuffer in) {
+                public void received(ByteBuffer in) {
                     if (overLimit || !feedValid(() -> reader.feed(in))) {
                         return;
                     }
                     String id = reader.head().field("X-Txn");
                     runCounts.merge(id, 1, Integer::sum);
-                    reader.next();
-                    wheel.at(now + 20, () -> {
+                    reader.reset();
+                    wheel.schedule(now + 20, () -> {
                         if (!closed) {
                             wire.write(encode("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + chunk("{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"x\"}\n")
@@ -138,14 +138,14 @@
 
     /** One call of an HTTP parser; returns whether a message is complete. */
     private interface MessageParser {
-        boolean feed() throws BadMessage;
+        boolean feed() throws BadMessageException;
     }
 
     /** Feeds a parser and fails the test if the message is malformed. */
     private static boolean feedValid(MessageParser parser) {
         try {
             return parser.feed();
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
     }
@@ -163,10 +163,10 @@
             }
 
             @Override
-            public void bytes(ByteBuffer in) {
+            public void received(ByteBuffer in) {
                 if (feedValid(() -> reader.feed(in))) {
                     answerCounts.merge("j" + index + " " + reader.status(), 1, Integer::sum);
-                    connection.cut();
+                    connection.closeNow();
                 }
             }
 
@@ -228,7 +228,7 @@
                 new Platform(config, core, new LoopContext(loop, () -> now, wheel, counters, log::add), loop::lagMs);
         InetSocketAddress front = loop.listen(anyLoopbackPort(), platform::accept, 100, () -> false)
                 .address();
-        platform.begin();
+        platform.start();
         advance(12_000);
         assertThat(discoveryCalls).as("discovery calls until the list arrived").isEqualTo(3);
         for (int index = 0; index < JOBS; index++) {
--- a/src/test/java/plumpost/LoopbackTest.java
+++ b/src/test/java/plumpost/LoopbackTest.java
@@ -23,7 +23,7 @@
 import plumpost.gearman.Packet;
 import plumpost.gearman.PacketReader;
 import plumpost.http.AnswerReader;
-import plumpost.http.BadMessage;
+import plumpost.http.BadMessageException;
 import plumpost.http.RequestReader;
 import plumpost.net.Connection;
 import plumpost.net.ConnectionHandler;
@@ -69,7 +69,7 @@
     }
 
     private void runLater(Runnable action) {
-        wheel.at(now + 1 + random.nextInt(8), action);
+        wheel.schedule(now + 1 + random.nextInt(8), action);
     }
 
     private void recordAnswer(String job, String outcome) {
@@ -99,13 +99,13 @@
         private final RequestReader reader = new RequestReader(1 << 16);
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             if (!feedValid(() -> reader.feed(in))) {
                 return;
             }
             String id = reader.head().field("X-Txn");
             String body = StandardCharsets.ISO_8859_1.decode(reader.body()).toString();
-            reader.next();
+            reader.reset();
             if (chance(2)) {
                 connection.write(encode("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"));
                 return;
@@ -115,7 +115,7 @@
                 if (chance(2)) {
                     injectedFaults.count("node disconnects");
                     closed = true;
-                    connection.cut();
+                    connection.closeNow();
                     return;
                 }
                 String line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"did " + body + "\"}\n";
@@ -131,7 +131,7 @@
 
         private void send(Packet.Type type, Object... arguments) {
             if (!closed) {
-                connection.write(Packet.bytes(Packet.REQUEST, type, arguments));
+                connection.write(Packet.encode(Packet.REQUEST, type, arguments));
             }
         }
 
@@ -143,7 +143,7 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             for (Packet packet = nextPacket(reader, in); packet != null; packet = nextPacket(reader, in)) {
                 switch (packet.type()) {
                     case NO_JOB -> send(Packet.Type.PRE_SLEEP);
@@ -160,7 +160,7 @@
                 if (chance(2)) {
                     injectedFaults.count("worker disconnects");
                     closed = true;
-                    connection.cut();
+                    connection.closeNow();
                     loop.dial(gearmanAddress, w -> new GearmanWorker().attach(w));
                 } else {
                     send(Packet.Type.WORK_COMPLETE, handle, "did " + body);
@@ -172,14 +172,14 @@
 
     /** One call of an HTTP parser; returns whether a message is complete. */
     private interface MessageParser {
-        boolean feed() throws BadMessage;
+        boolean feed() throws BadMessageException;
     }
 
     /** Feeds a parser and fails the test if the scheduler sent a malformed message. */
     private static boolean feedValid(MessageParser parser) {
         try {
             return parser.feed();
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
     }
@@ -217,11 +217,11 @@
                     + "\r\nX-Remaining-Ms: " + "20000\r\nContent-Length: " + job.length() + "\r\n\r\n" + job));
             if (chance(2)) {
                 String abandoned = job;
-                wheel.at(now + 4, () -> {
+                wheel.schedule(now + 4, () -> {
                     if (!closed && abandoned.equals(job)) {
                         injectedFaults.count("HTTP client disconnects");
                         closed = true;
-                        connection.cut();
+                        connection.closeNow();
                         recordAnswer(job, "left");
                         openJobs--;
                         loop.dial(httpAddress, w -> new HttpClient().attach(w));
@@ -231,7 +231,7 @@
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             if (!feedValid(() -> reader.feed(in))) {
                 return;
             }
@@ -240,7 +240,7 @@
             assertThat(reader.status() == 200 ? body : "did " + job).isEqualTo("did " + job);
             recordAnswer(job, String.valueOf(reader.status()));
             openJobs--;
-            reader.next();
+            reader.reset();
             job = null;
             opened();
         }
@@ -260,11 +260,11 @@
                 }
                 job = beginJob("gearman");
             }
-            connection.write(Packet.bytes(Packet.REQUEST, Packet.Type.SUBMIT_JOB, classOf(job), job, job));
+            connection.write(Packet.encode(Packet.REQUEST, Packet.Type.SUBMIT_JOB, classOf(job), job, job));
         }
 
         @Override
-        public void bytes(ByteBuffer in) {
+        public void received(ByteBuffer in) {
             for (Packet packet = nextPacket(reader, in); packet != null && !closed; packet = nextPacket(reader, in)) {
                 switch (packet.type()) {
                     case JOB_CREATED -> {
@@ -283,7 +283,7 @@
             if (!closed && job != null && !resubmitted) {
                 injectedFaults.count("Gearman client resubmits");
                 closed = true;
-                connection.cut();
+                connection.closeNow();
                 GearmanClient successor = new GearmanClient();
                 successor.job = job;
                 loop.dial(gearmanAddress, successor::attach);
@@ -338,7 +338,7 @@
                 SettingsReader.settings(raw),
                 raw,
                 known,
-                GearmanConfig.usual(anyLoopbackPort()),
+                GearmanConfig.withDefaults(anyLoopbackPort()),
                 null,
                 null);
         DispatchCore core = new DispatchCore(
@@ -356,7 +356,7 @@
                 .address();
         gearmanAddress = loop.listen(anyLoopbackPort(), gearmanFront::accept, 100, () -> false)
                 .address();
-        platform.begin();
+        platform.start();
         for (int i = 0; i < 10; i++) {
             loop.dial(gearmanAddress, w -> new GearmanWorker().attach(w));
             loop.dial(httpAddress, w -> new HttpClient().attach(w));
@@ -376,7 +376,7 @@
                         .filter(e -> classOf(e.getKey()).equals("pickup-order") && e.getValue() > 1))
                 .as("orders that ran twice")
                 .isEmpty();
-        assertThat(counters.of("guard.unanswered") + counters.of("guard.repeat"))
+        assertThat(counters.get("guard.unanswered") + counters.get("guard.repeat"))
                 .isZero();
         assertThat(List.of(
                         "node disconnects",
@@ -384,8 +384,8 @@
                         "HTTP client disconnects",
                         "Gearman client resubmits",
                         "finished job is resubmitted"))
-                .allMatch(fault -> injectedFaults.of(fault) > 20);
-        assertThat(counters.of("jobs.joined")).isPositive();
+                .allMatch(fault -> injectedFaults.get(fault) > 20);
+        assertThat(counters.get("jobs.joined")).isPositive();
         assertThat(runCounts.values().stream().filter(n -> n > 1))
                 .as("route plans that ran again")
                 .isNotEmpty();
--- a/src/test/java/plumpost/Scenario.java
+++ b/src/test/java/plumpost/Scenario.java
@@ -57,7 +57,7 @@
         "rules":{"coldFrom":0.32,"coldMs":400.0,"fallMs":1000.0,"fallMultiple":3.0,"graceToAnswerMs":8.0,
         "mustAskInMs":10000.0,"stopSendingWithinMs":400.0}}""";
 
-    public double now = 1_700_000_000_000.0;
+    public double nowMs = 1_700_000_000_000.0;
     public final Counters counters = new Counters();
     public final List<String> log = new ArrayList<>();
     public final Platform platform;
@@ -66,12 +66,12 @@
     /** Whether the control API's ready call reports the scheduler as serving. */
     public boolean serving = true;
 
-    public final DispatchCore room;
+    public final DispatchCore core;
     private final NodeConfig config;
     /** Whether the Gearman front has asked for the process to stop. */
     public boolean stopRequested;
 
-    private final TimerWheel wheel = new TimerWheel(now);
+    private final TimerWheel wheel = new TimerWheel(nowMs);
     private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
     private final Map<String, MemoryConnection> connections = new HashMap<>();
     private final Map<String, Integer> readLimits = new HashMap<>();
@@ -89,14 +89,14 @@
 
     /** Starts a scheduler with the given settings and limit on file descriptors. */
     public Scenario(int nodes, String settings, int sockets) {
-        this(nodes, settings, sockets, GearmanConfig.usual(null), 64);
+        this(nodes, settings, sockets, GearmanConfig.withDefaults(null), 64);
     }
 
     /** Starts a scheduler with the given Gearman configuration and limit on open jobs. */
     public Scenario(int nodes, String settings, int sockets, GearmanConfig gearmanConfig, int openJobs) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 1; i <= nodes; i++) {
-            hosts.append(i > 1 ? "," : "").append(host(i, "up", 0));
+            hosts.append(i > 1 ? "," : "").append(hostEntry(i, "up", 0));
         }
         Json.Fields raw = Json.object("settings", settings.getBytes(StandardCharsets.UTF_8));
         Json.Fields known = Json.object(
@@ -113,10 +113,10 @@
                 gearmanConfig,
                 null,
                 null);
-        room = new DispatchCore(
+        core = new DispatchCore(
                 config.settings(),
                 7,
-                () -> now,
+                () -> nowMs,
                 wheel,
                 counters,
                 new DispatchCore.Bounds(
@@ -126,15 +126,15 @@
                         1 << 20,
                         gearmanConfig.limits().packetBytes()),
                 log::add);
-        LoopContext context = new LoopContext(this::dial, () -> now, wheel, counters, log::add);
-        platform = new Platform(config, room, context, () -> 0);
-        gearman = new GearmanFront(config, "0", room, context, () -> stopRequested = true);
+        LoopContext context = new LoopContext(this::dial, () -> nowMs, wheel, counters, log::add);
+        platform = new Platform(config, core, context, () -> 0);
+        gearman = new GearmanFront(config, "0", core, context, () -> stopRequested = true);
         control = new ControlServer(
                 new InetSocketAddress("127.0.0.1", 9600),
                 16,
                 context,
-                new ControlOperations(room, counters, null, () -> serving));
-        platform.begin();
+                new ControlOperations(core, counters, null, () -> serving));
+        platform.start();
         platform.ready();
         if (config.settings().listOnRequest()) {
             runPendingEvents();
@@ -150,29 +150,29 @@
     }
 
     /** A copy of the configuration with another discovery address, as after a reload. */
-    public NodeConfig config(String discovery) {
+    public NodeConfig configWithDiscovery(String discovery) {
         return new NodeConfig(
                 config.name(),
                 config.listen(),
-                NodeListReader.address("discovery", discovery),
+                NodeListReader.parseAddress("discovery", discovery),
                 config.seed(),
                 config.sockets(),
                 config.settings(),
-                config.raw(),
-                config.known(),
+                config.rawSettings(),
+                config.lastNodeList(),
                 config.gearman(),
                 null,
                 config.ops());
     }
 
     /** A host entry of the node list in discovery's JSON. */
-    public static String host(int node, String health, double bornMs) {
+    public static String hostEntry(int node, String health, double bornMs) {
         return "{\"host\":\"node" + node + "\",\"dial\":\"127.0.0.1:" + (9000 + node) + "\",\"site\":\"p\",\"class\":"
                 + "\"k\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + bornMs + "}";
     }
 
     /** Adapts this scheduler's Gearman front to the script language; the clock advances while a peer waits. */
-    public Rig rig() {
+    public Rig scriptRig() {
         return new Rig() {
             @Override
             public void send(String peer, byte[] bytes) {
@@ -181,11 +181,11 @@
             }
 
             @Override
-            public byte[] take(String peer, double timeoutMs) {
+            public byte[] receive(String peer, double timeoutMs) {
                 MemoryConnection connection = connection(peer, false);
-                for (double end = now + timeoutMs;
-                        connection.output.isEmpty() && !connection.closed && now < end;
-                        pass(2)) {
+                for (double end = nowMs + timeoutMs;
+                        connection.output.isEmpty() && !connection.closed && nowMs < end;
+                        advance(2)) {
                     runPendingEvents();
                 }
                 byte[] bytes = connection.output.getBytes(StandardCharsets.ISO_8859_1);
@@ -200,7 +200,7 @@
             }
 
             @Override
-            public void pass(double ms) {
+            public void advance(double ms) {
                 runStep("wait " + ms);
                 runPendingEvents();
             }
@@ -211,16 +211,16 @@
     public Scenario play(String steps) {
         for (Script.Step step : Script.parse("scenario", steps).steps()) {
             runStep(
-                    step.who() == null
-                            ? "wait " + step.words()
-                            : (step.who()
+                    step.peer() == null
+                            ? "wait " + step.text()
+                            : (step.peer()
                                             + ' '
                                             + step.verb()
                                                     .name()
                                                     .toLowerCase(Locale.ROOT)
                                                     .replace("hold", "wait")
                                             + ' '
-                                            + step.words())
+                                            + step.text())
                                     .strip());
             runPendingEvents();
         }
@@ -234,11 +234,11 @@
             return;
         }
         if (words[0].equals("wait")) {
-            for (double end = now + Double.parseDouble(words[1]); now < end; now += 2) {
-                wheel.turnTo(now);
+            for (double end = nowMs + Double.parseDouble(words[1]); nowMs < end; nowMs += 2) {
+                wheel.advanceTo(nowMs);
                 runPendingEvents();
             }
-            wheel.turnTo(now);
+            wheel.advanceTo(nowMs);
             return;
         }
         switch (words[1]) {
@@ -364,7 +364,7 @@
                 for (int i = 1; i < fields.length; i++) {
                     values[i - 1] = fields[i].equals("$") ? lastHandle : fields[i];
                 }
-                deliver(Packet.bytes(Packet.REQUEST, Packet.Type.valueOf(fields[0]), values));
+                deliver(Packet.encode(Packet.REQUEST, Packet.Type.valueOf(fields[0]), values));
                 return;
             } else {
                 String[] fields = arguments.split(" ");
@@ -384,7 +384,7 @@
         private void deliver(ByteBuffer... buffers) {
             for (ByteBuffer buffer : buffers) {
                 while (buffer != null && buffer.hasRemaining() && !closed) {
-                    handler.bytes(ByteBuffer.wrap(new byte[] {buffer.get()}));
+                    handler.received(ByteBuffer.wrap(new byte[] {buffer.get()}));
                 }
             }
         }
@@ -404,7 +404,7 @@
                 output = text.substring(12 + size);
                 String name = "?";
                 for (Packet.Type type : Packet.Type.values()) {
-                    name = Packet.bytes(0, type)[0].getInt(4) == text.charAt(7) ? type.name() : name;
+                    name = Packet.encode(0, type)[0].getInt(4) == text.charAt(7) ? type.name() : name;
                 }
                 String words = text.substring(12, 12 + size).replace('\0', '|');
                 if (words.startsWith("H:")) {
@@ -462,12 +462,12 @@
         }
 
         @Override
-        public void cut() {
+        public void closeNow() {
             closed = true;
         }
 
         @Override
-        public void look() {}
+        public void readAvailable() {}
     }
 
     private String lastHandle = "";
