--- a/src/test/java/plumpost/SocketRig.java
+++ b/src/test/java/plumpost/SocketRig.java
@@ -34,16 +34,16 @@
 public final class SocketRig implements AutoCloseable {
     private static final long TIMEOUT_MS = 10_000;
 
-    public double now = 1_700_000_000_000.0;
+    public double nowMs = 1_700_000_000_000.0;
     public final Counters counters = new Counters();
     public final List<String> log = new ArrayList<>();
     public final Listener discovery = new Listener();
     public final List<Listener> nodes = new ArrayList<>();
     public final SelectorLoop loop;
-    public final DispatchCore room;
+    public final DispatchCore core;
     public final Platform platform;
     private final LoopContext context;
-    private final TimerWheel wheel = new TimerWheel(now);
+    private final TimerWheel wheel = new TimerWheel(nowMs);
     private final List<Peer> peers = new ArrayList<>();
     private final NodeConfig config;
     /** Interval at which discovery sends empty lines on an open list request. */
@@ -62,7 +62,7 @@
     }
 
     /** Starts a scheduler with this many nodes in its file that discovery has not answered yet. */
-    public static SocketRig unanswered(String settings, int nodes) throws IOException {
+    public static SocketRig withoutDiscovery(String settings, int nodes) throws IOException {
         return new SocketRig(settings, nodes, false);
     }
 
@@ -70,7 +70,7 @@
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < nodes; i++) {
             this.nodes.add(new Listener());
-            hosts.append(i > 0 ? "," : "").append(host(i, "up"));
+            hosts.append(i > 0 ? "," : "").append(hostEntry(i, "up"));
         }
         Json.Fields raw = Json.object("settings", settings.getBytes(StandardCharsets.UTF_8));
         Json.Fields known = Json.object(
@@ -87,27 +87,27 @@
                 null,
                 null,
                 null);
-        loop = new SelectorLoop(() -> now, wheel, counters, log::add);
-        room = new DispatchCore(
+        loop = new SelectorLoop(() -> nowMs, wheel, counters, log::add);
+        core = new DispatchCore(
                 config.settings(),
                 7,
-                () -> now,
+                () -> nowMs,
                 wheel,
                 counters,
                 new DispatchCore.Bounds(64, 1 << 20, 64, 1 << 20),
                 log::add);
-        context = new LoopContext(loop, () -> now, wheel, counters, log::add);
-        platform = new Platform(config, room, context, loop::lagMs);
+        context = new LoopContext(loop, () -> nowMs, wheel, counters, log::add);
+        platform = new Platform(config, core, context, loop::lagMs);
         platform.open((address, handlers, maxConnections, batched, unread, shed) -> {
             front = loop.listen(address, handlers, maxConnections, unread, shed).address();
             return front;
         });
         if (discoveryAnswers) {
             discoveryWatch = discovery.accept();
-            nextEmptyLineMs = now + EMPTY_LINE_INTERVAL_MS;
+            nextEmptyLineMs = nowMs + EMPTY_LINE_INTERVAL_MS;
             discoveryWatch.expect("GET ");
             discoveryWatch.send(CHUNKED + chunk("{\"seq\":1,\"whole\":false,\"hosts\":[]}\n"));
-            until("the node list", () -> counters.of("list.full") == 1);
+            turnUntil("the node list", () -> counters.get("list.full") == 1);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** A copy of the configuration with another discovery address, as after a reload. */
-    public NodeConfig config(InetSocketAddress discoveryAddress) {
+    public NodeConfig configWithDiscovery(InetSocketAddress discoveryAddress) {
         return new NodeConfig(
                 config.name(),
                 config.listen(),
@@ -124,15 +124,15 @@
                 config.seed(),
                 config.sockets(),
                 config.settings(),
-                config.raw(),
-                config.known(),
+                config.rawSettings(),
+                config.lastNodeList(),
                 null,
                 null,
                 null);
     }
 
     /** The entry of the node list, in discovery's JSON, for a node of this rig. */
-    public String host(int node, String health) {
+    public String hostEntry(int node, String health) {
         return "{\"host\":\"node" + node + "\",\"dial\":\"127.0.0.1:"
                 + nodes.get(node).address().getPort() + "\",\"site\":\"p\",\"class\":\"k\",\"block\":0,\"health\":\""
                 + health + "\",\"share\":1.0,\"born_ms\":0}";
@@ -152,18 +152,18 @@
                 config.seed(),
                 config.sockets(),
                 config.settings(),
-                config.raw(),
-                config.known(),
-                GearmanConfig.usual(null),
+                config.rawSettings(),
+                config.lastNodeList(),
+                GearmanConfig.withDefaults(null),
                 null,
                 null);
-        GearmanFront gearman = new GearmanFront(gearmanConfig, "0", room, context, () -> {});
+        GearmanFront gearman = new GearmanFront(gearmanConfig, "0", core, context, () -> {});
         return new Peer(SocketChannel.open(
                 loop.listen(anyLoopbackPort(), gearman::accept, 8, () -> false).address()));
     }
 
     /** A client's HTTP request for a job; each extra field ends with CRLF. */
-    public static String job(String jobClass, String id, String extraFields, String body) {
+    public static String jobRequest(String jobClass, String id, String extraFields, String body) {
         return "POST /" + jobClass + " HTTP/1.1\r\nHost: h\r\nX-Txn: " + id + "\r\n" + extraFields + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
@@ -174,26 +174,26 @@
     }
 
     /** The progress line by which a node reports a job as done. */
-    public static String line(String id, String result) {
+    public static String doneLine(String id, String result) {
         return "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"" + result + "\"}\n";
     }
 
     /** A node's whole answer for a job that is done. */
-    public static String done(String id) {
-        return CHUNKED + chunk(line(id, "r-" + id)) + "0\r\n\r\n";
+    public static String doneAnswer(String id) {
+        return CHUNKED + chunk(doneLine(id, "r-" + id)) + "0\r\n\r\n";
     }
 
     /** The head of a chunked answer. */
     public static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** Schedules an action on the loop's timer wheel, so that it runs between the loop's reads and its later timers. */
-    public void after(double delayMs, Runnable action) {
-        wheel.at(now + delayMs, action);
+    public void schedule(double delayMs, Runnable action) {
+        wheel.schedule(nowMs + delayMs, action);
     }
 
     /** Advances the clock in one step, followed by one turn of the loop. */
-    public void jump(double durationMs) {
-        now += durationMs;
+    public void advanceInOneTurn(double durationMs) {
+        nowMs += durationMs;
         turn();
     }
 
@@ -207,7 +207,7 @@
     }
 
     /** Turns the loop without advancing the clock until the condition holds; fails after 10 s of real time. */
-    public void until(String description, BooleanSupplier condition) {
+    public void turnUntil(String description, BooleanSupplier condition) {
         for (long end = System.nanoTime() + TIMEOUT_MS * 1_000_000; !condition.getAsBoolean(); Thread.onSpinWait()) {
             assertThat(System.nanoTime()).as(description + "; log " + log).isLessThan(end);
             turn();
@@ -215,10 +215,10 @@
     }
 
     /** Advances the clock in steps of at most 2 ms with a turn of the loop after each. */
-    public void pass(double durationMs) {
-        for (double end = now + durationMs; now < end; ) {
-            now = Math.min(end, now + 2);
-            if (discoveryWatch != null && now >= nextEmptyLineMs) {
+    public void advance(double durationMs) {
+        for (double end = nowMs + durationMs; nowMs < end; ) {
+            nowMs = Math.min(end, nowMs + 2);
+            if (discoveryWatch != null && nowMs >= nextEmptyLineMs) {
                 nextEmptyLineMs += EMPTY_LINE_INTERVAL_MS;
                 discoveryWatch.send(chunk("\n"));
             }
@@ -230,24 +230,24 @@
      * Advances the clock in steps of 2 ms until the condition holds and returns the elapsed milliseconds; fails once
      * more than the maximum has passed.
      */
-    public double passUntil(String description, double maxMs, BooleanSupplier condition) {
-        double from = now;
+    public double advanceUntil(String description, double maxMs, BooleanSupplier condition) {
+        double from = nowMs;
         while (!condition.getAsBoolean()) {
-            assertThat(now - from).as(description + "; log " + log).isLessThanOrEqualTo(maxMs);
-            pass(2);
+            assertThat(nowMs - from).as(description + "; log " + log).isLessThanOrEqualTo(maxMs);
+            advance(2);
         }
-        return now - from;
+        return nowMs - from;
     }
 
     /**
      * Runs the loop as the process does until the condition holds; the clock advances 10 ms each time it is checked.
      * Fails after 10 s of real time.
      */
-    public void end(BooleanSupplier finished) throws IOException {
+    public void runUntilEnd(BooleanSupplier finished) throws IOException {
         loopEnded = true;
         long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         loop.run(() -> {
-            now += 10;
+            nowMs += 10;
             return finished.getAsBoolean() || System.nanoTime() > end;
         });
         assertThat(System.nanoTime()).as("end of the loop; log " + log).isLessThan(end);
@@ -259,7 +259,7 @@
             peer.channel.close();
         }
         if (!loopEnded) {
-            end(() -> true);
+            runUntilEnd(() -> true);
         }
         discovery.channel.close();
         for (Listener listener : nodes) {
@@ -299,7 +299,7 @@
         /** Turns the loop until the scheduler connects and returns the connection. */
         public Peer accept() {
             Peer[] accepted = new Peer[1];
-            until("a connection", () -> (accepted[0] = poll()) != null);
+            turnUntil("a connection", () -> (accepted[0] = poll()) != null);
             return accepted[0];
         }
     }
@@ -311,7 +311,7 @@
         /** Whether the scheduler has closed its sending side. */
         public boolean inputEnded;
         /** Whether reading or writing has failed, as after a reset. */
-        public boolean reset;
+        public boolean failed;
 
         Peer(SocketChannel channel) throws IOException {
             this.channel = channel;
@@ -321,13 +321,13 @@
         }
 
         /** Sets the receive buffer to 2048 bytes, so that the scheduler can write only little at a time. */
-        public void narrow() throws IOException {
+        public void limitReceiveBuffer() throws IOException {
             channel.setOption(StandardSocketOptions.SO_RCVBUF, 2048);
         }
 
         /** Sends a Gearman request. */
         public void send(Packet.Type type, Object... arguments) {
-            for (ByteBuffer part : Packet.bytes(Packet.REQUEST, type, arguments)) {
+            for (ByteBuffer part : Packet.encode(Packet.REQUEST, type, arguments)) {
                 send(StandardCharsets.ISO_8859_1.decode(part).toString());
             }
         }
@@ -345,7 +345,7 @@
                     }
                 }
             } catch (IOException exception) {
-                reset = true;
+                failed = true;
             }
         }
 
@@ -354,29 +354,29 @@
             ByteBuffer buffer = ByteBuffer.allocate(4096);
             try {
                 for (int n = channel.read(buffer);
-                        n != 0 && !inputEnded && !reset;
+                        n != 0 && !inputEnded && !failed;
                         n = inputEnded ? 0 : channel.read(buffer.clear())) {
                     inputEnded = n < 0;
                     text.append(StandardCharsets.ISO_8859_1.decode(buffer.flip()));
                 }
             } catch (IOException exception) {
-                reset = true;
+                failed = true;
             }
             return text.toString();
         }
 
         /** Turns the loop until the received text contains the given text; returns and clears the received text. */
         public String expect(String expected) {
-            until("expecting " + expected + ", got " + text, () -> text().contains(expected));
+            turnUntil("expecting " + expected + ", got " + text, () -> text().contains(expected));
             String received = text.toString();
             text.setLength(0);
             return received;
         }
 
         /** Whether the scheduler has closed its sending side or the connection has failed. */
-        public boolean over() {
+        public boolean isClosed() {
             text();
-            return inputEnded || reset;
+            return inputEnded || failed;
         }
 
         /** Closes the sending side and keeps reading. */
--- a/src/test/java/plumpost/benchlink/WireHostTest.java
+++ b/src/test/java/plumpost/benchlink/SimulatorHostTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the host with transcripts of the simulator's protocol: valid, divided among hosts, and malformed ones. */
-class WireHostTest {
+class SimulatorHostTest {
     private static final String CONFIG = "{\"balancers\":2,\"dcs\":[\"a\"],\"shapes\":[\"k\"],\"locality\":0,"
             + "\"granularityMs\":2.0,\"new\":{\"unknown\":[1]},\"classes\":[{\"name\":\"c\",\"sloMs\":400.0,"
             + "\"deadlineMs\":5000.0,\"effect\":\"free\",\"keyScope\":\"all\",\"windowMs\":5000.0,\"importance\":1.0}],"
@@ -27,7 +27,7 @@
     private String serve(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        exit = new WireHost(
+        exit = new SimulatorHost(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         out,
                         new PrintStream(err, true, StandardCharsets.UTF_8))
--- a/src/test/java/plumpost/cli/MainTest.java
+++ b/src/test/java/plumpost/cli/MainTest.java
@@ -76,7 +76,8 @@
     @Test
     void granularityIncludesTheLinkDelay() {
         NodeConfig config = NodeConfig.read(SAMPLE, java.util.Map.of());
-        assertThat(config.settings().granularityMs()).isEqualTo(config.raw().number("granularityMs") + 2.5);
+        assertThat(config.settings().granularityMs())
+                .isEqualTo(config.rawSettings().number("granularityMs") + 2.5);
     }
 
     /** The sample configuration in the repository is valid, and the warm-up serves all its jobs with it. */
@@ -84,6 +85,6 @@
     void theSampleConfigurationIsValid() throws IOException {
         assertThat(run("check", "-c", SAMPLE.toString())).isZero();
         assertThat(run("version")).isZero();
-        assertThat(WarmUp.play(NodeConfig.read(SAMPLE, java.util.Map.of()))).isEqualTo(20);
+        assertThat(WarmUp.run(NodeConfig.read(SAMPLE, java.util.Map.of()))).isEqualTo(20);
     }
 }
--- a/src/test/java/plumpost/config/PeersConfigTest.java
+++ b/src/test/java/plumpost/config/PeersConfigTest.java
@@ -22,7 +22,7 @@
     @Test
     void defaultsApplyWhereNothingIsGiven() {
         PeersConfig config = read(GOOD);
-        assertThat(config.lostMs()).isEqualTo(1500);
+        assertThat(config.sessionTimeoutMs()).isEqualTo(1500);
         assertThat(config.covered().classes())
                 .as("no class is covered by default")
                 .isEmpty();
--- a/src/test/java/plumpost/control/ControlTest.java
+++ b/src/test/java/plumpost/control/ControlTest.java
@@ -39,7 +39,7 @@
             node1 send done a route
             desk1 expect 200 route
             """);
-        assertThat(scenario.counters.of("guard.drain")).isZero();
+        assertThat(scenario.counters.get("guard.drain")).isZero();
     }
 
     /** An order whose last byte is not sent yet when its node is banned must not be completed on that node. */
@@ -52,8 +52,8 @@
             ops1 expect 200 *
             wait 10
             """);
-        assertThat(scenario.counters.of("attempts.whole.pickup-order")).isZero();
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.whole.pickup-order")).isZero();
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(1);
     }
 
     /** A later complete node list that reports the node as up does not lift its ban. */
@@ -65,7 +65,7 @@
             wait 4000
             list expect GET /registry/instances?follow=1&since=1
             """);
-        scenario.play("list send {\"seq\":2,\"whole\":true,\"hosts\":[" + Scenario.host(1, "up", 0) + "]}");
+        scenario.play("list send {\"seq\":2,\"whole\":true,\"hosts\":[" + Scenario.hostEntry(1, "up", 0) + "]}");
         scenario.play("""
             desk1 send POST /route-plan a 8000 x
             wait 600
@@ -98,7 +98,7 @@
             ops7 send "GET /control/ready HTTP/1.1\\r\\nbad line\\r\\n\\r\\n"
             ops7 expect 400 *
             """);
-        assertThat(scenario.room.avoided()).isZero();
+        assertThat(scenario.core.avoidedNodeCount()).isZero();
     }
 
     /** A connection whose call is never completed is closed, and no other connection is affected. */
@@ -130,7 +130,7 @@
             ops1 send POST /control/workers/node1/offline
             ops1 expect 200 *
             """);
-        assertThat(new ControlOperations(scenario.room, scenario.counters, null, () -> true).statsdLines())
+        assertThat(new ControlOperations(scenario.core, scenario.counters, null, () -> true).statsdLines())
                 .isEqualTo("""
             node.succeeded.route-plan:1|c
             node.declined.route-plan:0|c
@@ -151,6 +151,6 @@
             ops2 send GET /control/counters
             ops2 expect 200 node.succeeded.route-plan:1|c*
             """);
-        assertThat(scenario.counters.of("jobs.served.route-plan")).isEqualTo(1);
+        assertThat(scenario.counters.get("jobs.served.route-plan")).isEqualTo(1);
     }
 }
--- a/src/test/java/plumpost/control/CrowdedListenerTest.java
+++ b/src/test/java/plumpost/control/CrowdedListenerTest.java
@@ -51,13 +51,13 @@
                     }
 
                     @Override
-                    public Bans.Said takeOffline(String node) {
-                        return Bans.Said.UNKNOWN;
+                    public Bans.BanResult takeOffline(String node) {
+                        return Bans.BanResult.UNKNOWN;
                     }
 
                     @Override
-                    public Bans.Said bringOnline(String node) {
-                        return Bans.Said.UNKNOWN;
+                    public Bans.BanResult bringOnline(String node) {
+                        return Bans.BanResult.UNKNOWN;
                     }
                 });
         AtomicReference<InetSocketAddress> bound = new AtomicReference<>();
@@ -94,10 +94,10 @@
                 assertThat(answer).startsWith("HTTP/1.1 200 ").endsWith("ready\n");
                 assertThat(ms).as("milliseconds to the answer").isLessThan(1000);
             }
-            assertThat(counters.of("control.shed")).isPositive();
+            assertThat(counters.get("control.shed")).isPositive();
         } finally {
             finished.set(true);
-            loop.onLoop(() -> {});
+            loop.execute(() -> {});
             loopThread.join(5000);
             for (Socket unfinishedCall : unfinished) {
                 unfinishedCall.close();
--- a/src/test/java/plumpost/control/HostileCallsTest.java
+++ b/src/test/java/plumpost/control/HostileCallsTest.java
@@ -33,12 +33,12 @@
         int offset = 0;
         for (int cut : cuts) {
             int end = Math.min(bytes.length, offset + cut);
-            call.bytes(ByteBuffer.wrap(bytes, offset, end - offset).slice());
+            call.received(ByteBuffer.wrap(bytes, offset, end - offset).slice());
             offset = end;
         }
-        call.bytes(ByteBuffer.wrap(bytes, offset, bytes.length - offset).slice());
+        call.received(ByteBuffer.wrap(bytes, offset, bytes.length - offset).slice());
         String output = new String(connection.written(), StandardCharsets.ISO_8859_1);
-        assertThat(scenario.counters.of("net.fault") + scenario.counters.of("guard.fault"))
+        assertThat(scenario.counters.get("net.fault") + scenario.counters.get("guard.fault"))
                 .isZero();
         int answers = output.split("HTTP/1.1 ", -1).length - 1;
         assertThat(answers).isLessThanOrEqualTo(1);
@@ -97,11 +97,11 @@
         }
 
         @Override
-        public void cut() {
+        public void closeNow() {
             closed = true;
         }
 
         @Override
-        public void look() {}
+        public void readAvailable() {}
     }
 }
--- a/src/test/java/plumpost/control/SharedBansTest.java
+++ b/src/test/java/plumpost/control/SharedBansTest.java
@@ -19,23 +19,23 @@
     void aBanSetInOneProcessHoldsInTheOther(@TempDir Path directory) {
         Scenario oldProcess = new Scenario(1);
         Scenario newProcess = new Scenario(1);
-        SharedBans oldBans = new SharedBans(directory, oldProcess.room, context(oldProcess));
-        SharedBans newBans = new SharedBans(directory, newProcess.room, context(newProcess));
+        SharedBans oldBans = new SharedBans(directory, oldProcess.core, context(oldProcess));
+        SharedBans newBans = new SharedBans(directory, newProcess.core, context(newProcess));
         ControlOperations oldOperations =
-                new ControlOperations(oldProcess.room, oldProcess.counters, oldBans, () -> true);
+                new ControlOperations(oldProcess.core, oldProcess.counters, oldBans, () -> true);
         oldBans.start();
         newBans.start();
-        assertThat(oldOperations.takeOffline("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
+        assertThat(oldOperations.takeOffline("node1")).isEqualTo(plumpost.dispatch.Bans.BanResult.CHANGED);
         newProcess.play("wait " + (SharedBans.POLL_INTERVAL_MS + 4));
-        assertThat(newProcess.room.avoided()).isEqualTo(1);
+        assertThat(newProcess.core.avoidedNodeCount()).isEqualTo(1);
         newProcess.play("""
             desk1 send POST /route-plan a 8000 x
             wait 300
             node1 expect nothing
             """);
-        new ControlOperations(newProcess.room, newProcess.counters, newBans, () -> true).bringOnline("node1");
+        new ControlOperations(newProcess.core, newProcess.counters, newBans, () -> true).bringOnline("node1");
         oldProcess.play("wait " + (SharedBans.POLL_INTERVAL_MS + 4));
-        assertThat(oldProcess.room.avoided()).isZero();
+        assertThat(oldProcess.core.avoidedNodeCount()).isZero();
     }
 
     /** A new process starts with the bans in the file that the previous process left. */
@@ -43,9 +43,9 @@
     void theNextProcessTakesOverTheBans(@TempDir Path directory) throws IOException {
         Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node1\n");
         Scenario newProcess = new Scenario(2);
-        new SharedBans(directory, newProcess.room, context(newProcess)).start();
-        assertThat(newProcess.room.avoided()).isEqualTo(1);
-        assertThat(newProcess.room.online("node1")).isEqualTo(plumpost.dispatch.Bans.Said.CHANGED);
+        new SharedBans(directory, newProcess.core, context(newProcess)).start();
+        assertThat(newProcess.core.avoidedNodeCount()).isEqualTo(1);
+        assertThat(newProcess.core.online("node1")).isEqualTo(plumpost.dispatch.Bans.BanResult.CHANGED);
     }
 
     /**
@@ -57,16 +57,18 @@
         Path blocked = Files.createDirectories(
                 directory.resolve(SharedBans.FILE_NAME + ".new/occupied")); // makes every write fail
         Scenario scenario = new Scenario(2);
-        SharedBans shared = new SharedBans(directory, scenario.room, context(scenario));
-        ControlOperations operations = new ControlOperations(scenario.room, scenario.counters, shared, () -> true);
+        SharedBans shared = new SharedBans(directory, scenario.core, context(scenario));
+        ControlOperations operations = new ControlOperations(scenario.core, scenario.counters, shared, () -> true);
         shared.start();
         List<String> answers = new ArrayList<>();
         operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         operations.changeBan("node1", true, (result, reason) -> answers.add(result + " " + reason));
         assertThat(answers).allMatch(answer -> answer.startsWith("null ") && answer.contains("node1"));
-        assertThat(scenario.room.avoided()).as("banned in this process").isEqualTo(1);
+        assertThat(scenario.core.avoidedNodeCount())
+                .as("banned in this process")
+                .isEqualTo(1);
         scenario.play("wait 1000");
-        assertThat(scenario.counters.of("bans.file_unwritten"))
+        assertThat(scenario.counters.get("bans.file_unwritten"))
                 .as("an outage is counted once")
                 .isEqualTo(1);
         Files.delete(blocked);
@@ -82,14 +84,16 @@
     @Test
     void unsavedBansAreNotUndoneByTheOtherProcess(@TempDir Path directory) throws IOException {
         Scenario scenario = new Scenario(2);
-        SharedBans shared = new SharedBans(directory, scenario.room, context(scenario));
-        ControlOperations operations = new ControlOperations(scenario.room, scenario.counters, shared, () -> true);
+        SharedBans shared = new SharedBans(directory, scenario.core, context(scenario));
+        ControlOperations operations = new ControlOperations(scenario.core, scenario.counters, shared, () -> true);
         shared.start();
         Path blocked = Files.createDirectories(directory.resolve(SharedBans.FILE_NAME + ".new/occupied"));
         operations.changeBan("node1", true, (result, reason) -> {});
         Files.writeString(directory.resolve(SharedBans.FILE_NAME), "node2\n");
         scenario.play("wait 300");
-        assertThat(scenario.room.avoided()).as("both workers are banned").isEqualTo(2);
+        assertThat(scenario.core.avoidedNodeCount())
+                .as("both workers are banned")
+                .isEqualTo(2);
         Files.delete(blocked);
         Files.delete(blocked.getParent());
         scenario.play("wait 300");
@@ -98,6 +102,6 @@
 
     private static plumpost.net.LoopContext context(Scenario scenario) {
         return new plumpost.net.LoopContext(
-                null, () -> scenario.now, scenario.wheel(), scenario.counters, scenario.log::add);
+                null, () -> scenario.nowMs, scenario.wheel(), scenario.counters, scenario.log::add);
     }
 }
--- a/src/test/java/plumpost/decision/DedicatedWorkersTest.java
+++ b/src/test/java/plumpost/decision/DedicatedWorkersTest.java
@@ -22,11 +22,11 @@
         for (int kind : workKinds) {
             runs.set(kind);
         }
-        dispatcher.workers(0, ListMode.INCREMENTAL, List.of(new WorkerEntry(id, 0, 0, 0, phase, 1, 0, runs, 1)));
+        dispatcher.onWorkerList(0, ListMode.INCREMENTAL, List.of(new WorkerEntry(id, 0, 0, 0, phase, 1, 0, runs, 1)));
     }
 
     private void addJob(double now, String id, int work, int priority) {
-        dispatcher.arrived(
+        dispatcher.onJobArrived(
                 now, new Job(id, 0, 0, null, 5000, Double.NaN, 1, Double.NaN, false, work, priority, 60_000));
     }
 
@@ -37,8 +37,8 @@
         addJob(1, "a", 7, 0);
         addJob(2, "b", 7, 0);
         assertThat(actions.takeStartingWith("assign")).containsExactly("assign a w");
-        dispatcher.started(3, "a", 0, "w");
-        dispatcher.ended(4, outcome("a", 0, "w", Ending.OK));
+        dispatcher.onAttemptStarted(3, "a", 0, "w");
+        dispatcher.onAttemptEnded(4, outcome("a", 0, "w", Ending.OK));
         assertThat(actions.takeStartingWith("assign")).containsExactly("assign b w");
         assertThat(actions.lines).noneMatch(l -> l.startsWith("probe"));
     }
@@ -71,8 +71,8 @@
         List<String> freed =
                 sent.stream().map(l -> l.substring(l.lastIndexOf(' ') + 1)).toList();
         for (int i = 0; i < workerCount; i++) {
-            dispatcher.started(2, "j" + i, 0, freed.get(i));
-            dispatcher.ended(3, outcome("j" + i, 0, freed.get(i), Ending.OK));
+            dispatcher.onAttemptStarted(2, "j" + i, 0, freed.get(i));
+            dispatcher.onAttemptEnded(3, outcome("j" + i, 0, freed.get(i), Ending.OK));
         }
         addJob(5, "next", 7, 0);
         String taken = actions.takeStartingWith("assign next").get(0).substring("assign next ".length());
@@ -89,8 +89,8 @@
         listDedicatedWorker("w", Phase.SERVING, 7);
         for (String next : List.of("high", "old", "late", "low")) {
             assertThat(actions.takeStartingWith("assign")).containsExactly("assign " + next + " w");
-            dispatcher.started(2200, next, 0, "w");
-            dispatcher.ended(2200, outcome(next, 0, "w", Ending.OK));
+            dispatcher.onAttemptStarted(2200, next, 0, "w");
+            dispatcher.onAttemptEnded(2200, outcome(next, 0, "w", Ending.OK));
         }
     }
 
@@ -101,8 +101,8 @@
         for (int i = 0; i < 5; i++) {
             addJob(1, "a" + i, 7, 0);
             assertThat(actions.takeStartingWith("assign")).containsExactly("assign a" + i + " w");
-            dispatcher.started(2, "a" + i, 0, "w");
-            dispatcher.ended(3, outcome("a" + i, 0, "w", Ending.ERROR));
+            dispatcher.onAttemptStarted(2, "a" + i, 0, "w");
+            dispatcher.onAttemptEnded(3, outcome("a" + i, 0, "w", Ending.ERROR));
             assertThat(actions.takeStartingWith("fail")).containsExactly("fail a" + i);
         }
     }
@@ -115,7 +115,7 @@
         actions.lines.clear();
         listDedicatedWorker("v", Phase.SERVING, 7);
         listDedicatedWorker("w", Phase.DELETED, 7);
-        dispatcher.ended(2, outcome("a", 0, "w", Ending.RESET));
+        dispatcher.onAttemptEnded(2, outcome("a", 0, "w", Ending.RESET));
         assertThat(actions.takeStartingWith("assign")).containsExactly("assign a v");
         addJob(3, "b", 7, 0);
         assertThat(actions.takeStartingWith("assign")).isEmpty();
@@ -140,9 +140,9 @@
     /** A background job with a target time of its own is not given up when the target time of its class has passed. */
     @Test
     void aJobsOwnTargetTimeReplacesThatOfItsClass() {
-        dispatcher.arrived(0, new Job("bg", 0, 0, null, 60_000, Double.NaN, 1, Double.NaN, false, 7, 0, 60_000));
+        dispatcher.onJobArrived(0, new Job("bg", 0, 0, null, 60_000, Double.NaN, 1, Double.NaN, false, 7, 0, 60_000));
         for (double now = 80; now < 20_000; now += 80) {
-            dispatcher.timer(now, 0);
+            dispatcher.onTimer(now, 0);
         }
         assertThat(actions.lines).noneMatch(l -> l.startsWith("refuse") || l.startsWith("fail"));
         listDedicatedWorker("w", Phase.SERVING, 7);
@@ -157,12 +157,14 @@
         Logic probing = new Logic(settings.settings(), 1, actions);
         BitSet runs = new BitSet();
         runs.set(7);
-        probing.workers(0, ListMode.INCREMENTAL, List.of(new WorkerEntry("w", 0, 0, 0, Phase.SERVING, 1, 0, runs, 1)));
+        probing.onWorkerList(
+                0, ListMode.INCREMENTAL, List.of(new WorkerEntry("w", 0, 0, 0, Phase.SERVING, 1, 0, runs, 1)));
         for (int i = 0; i < 2; i++) {
             double now = 1 + 20_000 * i;
-            probing.arrived(now, new Job("o" + i, 1, 0, null, 5000, Double.NaN, 1, Double.NaN, false, 7, 0, 60_000));
+            probing.onJobArrived(
+                    now, new Job("o" + i, 1, 0, null, 5000, Double.NaN, 1, Double.NaN, false, 7, 0, 60_000));
             assertThat(actions.takeStartingWith("assign")).containsExactly("assign o" + i + " w");
-            probing.ended(now + 10, outcome("o" + i, 0, "w", Ending.RESET));
+            probing.onAttemptEnded(now + 10, outcome("o" + i, 0, "w", Ending.RESET));
         }
     }
 }
--- a/src/test/java/plumpost/decision/RecordingActions.java
+++ b/src/test/java/plumpost/decision/RecordingActions.java
@@ -42,12 +42,12 @@
     }
 
     @Override
-    public void timer(double atMs, long token) {
+    public void requestTimer(double atMs, long token) {
         timers.add(atMs);
     }
 
     @Override
-    public void subscribe() {
+    public void requestWorkerList() {
         lines.add("subscribe");
     }
 
--- a/src/test/java/plumpost/decision/RulesTest.java
+++ b/src/test/java/plumpost/decision/RulesTest.java
@@ -127,7 +127,7 @@
         settings.reports = Dispatcher.Reports.values()[random.nextInt(3)];
         CheckingHost host = new CheckingHost(settings);
         Logic logic = new Logic(settings.settings(), seed, host);
-        logic.workers(0, Dispatcher.ListMode.SAVED, List.of());
+        logic.onWorkerList(0, Dispatcher.ListMode.SAVED, List.of());
         double clock = 1;
         for (int step = 0; step < 400; step++) {
             clock += random.nextInt(5) == 0 ? random.nextInt(1500) : random.nextInt(10);
@@ -139,7 +139,7 @@
                 }
                 host.timers.remove(dueAt);
                 host.now = Math.max(host.now, dueAt);
-                logic.timer(host.now, 0);
+                logic.onTimer(host.now, 0);
                 timeOutAttempts(host, logic);
             }
             host.now = clock;
@@ -154,7 +154,7 @@
             }
             host.timers.remove(dueAt);
             host.now = Math.max(host.now, dueAt);
-            logic.timer(host.now, 0);
+            logic.onTimer(host.now, 0);
         }
         host.jobs.forEach((id, tracked) -> assertTrue(tracked.answered, id + " got no final answer, seed " + seed));
         host.coldWork.forEach((worker, work) -> assertTrue(
@@ -170,7 +170,7 @@
                     TrackedAttempt attempt = tracked.attempts.get(i);
                     if (attempt.ending == null) {
                         attempt.ending = Ending.TIMEOUT;
-                        logic.ended(
+                        logic.onAttemptEnded(
                                 host.now,
                                 new Dispatcher.Outcome(
                                         entry.getKey(), i, attempt.worker, Ending.TIMEOUT, 1, tracked.answered, null));
@@ -192,7 +192,7 @@
                 double cost = random.nextInt(5) == 0 ? Double.NaN : 1 + random.nextInt(100);
                 host.jobs.put(id, tracked);
                 host.costs.put(id, Double.isNaN(cost) ? 50 : cost);
-                logic.arrived(
+                logic.onJobArrived(
                         host.now,
                         new Dispatcher.Job(
                                 id,
@@ -225,16 +225,16 @@
                     host.knownWorkers.put(id, entry);
                     host.listedWorkers.put(id, entry);
                 }
-                logic.workers(host.now, full ? Dispatcher.ListMode.FULL : Dispatcher.ListMode.INCREMENTAL, lines);
+                logic.onWorkerList(host.now, full ? Dispatcher.ListMode.FULL : Dispatcher.ListMode.INCREMENTAL, lines);
             }
             case 3 -> {
                 if (host.settings.listOnRequest) {
-                    logic.workers(host.now, Dispatcher.ListMode.FAILED, List.of());
+                    logic.onWorkerList(host.now, Dispatcher.ListMode.FAILED, List.of());
                 }
-                logic.peerMessage(host.now, 1, new byte[random.nextInt(40)]);
+                logic.onPeerMessage(host.now, 1, new byte[random.nextInt(40)]);
             }
             case 4 ->
-                logic.probed(
+                logic.onProbeResult(
                         host.now,
                         "w" + random.nextInt(8),
                         Ending.values()[random.nextInt(6)],
@@ -247,9 +247,10 @@
                 randomJobWithOpenAttempt(random, host).ifPresent(id -> {
                     TrackedJob tracked = host.jobs.get(id);
                     int attemptIndex = tracked.attempts.size() - 1;
-                    logic.started(host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker);
+                    logic.onAttemptStarted(host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker);
                     if (random.nextBoolean()) {
-                        logic.progressed(host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker, 0.5);
+                        logic.onAttemptProgress(
+                                host.now, id, attemptIndex, tracked.attempts.get(attemptIndex).worker, 0.5);
                     }
                 });
             case 6 ->
@@ -261,20 +262,20 @@
                         attempt.ending = Ending.values()[random.nextInt(Ending.values().length)];
                         boolean ok = attempt.ending == Ending.OK && !tracked.answered;
                         tracked.answered |= ok;
-                        logic.ended(
+                        logic.onAttemptEnded(
                                 host.now,
                                 new Dispatcher.Outcome(
                                         id, attemptIndex, attempt.worker, attempt.ending, 1, tracked.answered, null));
                         if (ok && random.nextInt(4) == 0) {
-                            logic.clientGone(host.now, id);
+                            logic.onClientGone(host.now, id);
                         }
                     }
                 });
             default -> {
-                logic.started(host.now, "nobody", 0, "nothing");
-                logic.ended(host.now, TestSettings.outcome("nobody", 3, "nothing", Ending.OK));
-                logic.clientGone(host.now, "nobody");
-                logic.progressed(host.now, "nobody", 0, "nothing", 1);
+                logic.onAttemptStarted(host.now, "nobody", 0, "nothing");
+                logic.onAttemptEnded(host.now, TestSettings.outcome("nobody", 3, "nothing", Ending.OK));
+                logic.onClientGone(host.now, "nobody");
+                logic.onAttemptProgress(host.now, "nobody", 0, "nothing", 1);
             }
         }
     }
--- a/src/test/java/plumpost/decision/SideBySideSchedulersTest.java
+++ b/src/test/java/plumpost/decision/SideBySideSchedulersTest.java
@@ -49,7 +49,7 @@
             settings.reports = Dispatcher.Reports.PULL;
             recordings.add(new RecordingActions());
             dispatchers.add(new Logic(settings.settings(), 100 + i, recordings.get(i)));
-            dispatchers.get(i).workers(0, ListMode.SAVED, List.copyOf(workers.values()));
+            dispatchers.get(i).onWorkerList(0, ListMode.SAVED, List.copyOf(workers.values()));
         }
     }
 
@@ -71,7 +71,7 @@
                     probesAnswered = true;
                     dispatchers
                             .get(scheduler)
-                            .probed(
+                            .onProbeResult(
                                     now,
                                     line.substring("probe ".length()),
                                     Ending.OK,
@@ -93,13 +93,13 @@
         for (int scheduler = 0; scheduler < SCHEDULERS; scheduler++) {
             for (int jobIndex = 0; jobIndex < 10; jobIndex++) {
                 double now = 10_000 * (jobIndex + 1);
-                dispatchers.get(scheduler).arrived(now, TestSettings.job("j" + jobIndex, 0, 100));
+                dispatchers.get(scheduler).onJobArrived(now, TestSettings.job("j" + jobIndex, 0, 100));
                 for (String worker : answerProbes(scheduler, now + 1, 4)) {
                     sent++;
                     crossed += workers.get(worker).zone() == scheduler % PLANTS ? 0 : 1;
                     dispatchers
                             .get(scheduler)
-                            .ended(now + 100, TestSettings.outcome("j" + jobIndex, 0, worker, Ending.OK));
+                            .onAttemptEnded(now + 100, TestSettings.outcome("j" + jobIndex, 0, worker, Ending.OK));
                 }
             }
         }
@@ -117,14 +117,14 @@
             settings.listOnRequest = true;
             recordings.set(i, new RecordingActions());
             dispatchers.set(i, new Logic(settings.settings(), 100 + i, recordings.get(i)));
-            dispatchers.get(i).workers(0, ListMode.SAVED, List.copyOf(workers.values()));
+            dispatchers.get(i).onWorkerList(0, ListMode.SAVED, List.copyOf(workers.values()));
         }
         int maxCallsPerStep = 0;
         int allCalls = 0;
         for (double now = 500; now <= 3_500; now += 500) {
             int calls = 0;
             for (int i = 0; i < SCHEDULERS; i++) {
-                dispatchers.get(i).timer(now, 0);
+                dispatchers.get(i).onTimer(now, 0);
                 calls += recordings.get(i).takeStartingWith("subscribe").size();
             }
             maxCallsPerStep = Math.max(maxCallsPerStep, calls);
@@ -140,7 +140,7 @@
         Map<String, Integer> got = new LinkedHashMap<>();
         for (int scheduler = 0; scheduler < SCHEDULERS; scheduler++) {
             for (int jobIndex = 0; jobIndex < 4; jobIndex++) {
-                dispatchers.get(scheduler).arrived(1_000, TestSettings.job("j" + jobIndex, 0, 1_000));
+                dispatchers.get(scheduler).onJobArrived(1_000, TestSettings.job("j" + jobIndex, 0, 1_000));
             }
             answerProbes(scheduler, 1_001, 4).forEach(worker -> got.merge(worker, 1, Integer::sum));
         }
@@ -153,17 +153,17 @@
     void eachSchedulerLosesFewOrdersToABadWorker() {
         int errors = 0;
         for (int scheduler = 0; scheduler < SCHEDULERS; scheduler++) {
-            dispatchers.get(scheduler).workers(1, ListMode.FULL, List.of(workers.get("w0"), workers.get("w3")));
+            dispatchers.get(scheduler).onWorkerList(1, ListMode.FULL, List.of(workers.get("w0"), workers.get("w3")));
             for (int jobIndex = 0; jobIndex < 30; jobIndex++) {
                 double now = 1_000 + 2_000 * jobIndex;
                 String id = "j" + jobIndex;
-                dispatchers.get(scheduler).arrived(now, TestSettings.job(id, 1, 100));
+                dispatchers.get(scheduler).onJobArrived(now, TestSettings.job(id, 1, 100));
                 boolean bad = answerAllProbes(scheduler, now + 1, 4).get(0).equals("w0");
                 errors += bad ? 1 : 0;
-                dispatchers.get(scheduler).started(now + 2, id, 0, bad ? "w0" : "w3");
+                dispatchers.get(scheduler).onAttemptStarted(now + 2, id, 0, bad ? "w0" : "w3");
                 dispatchers
                         .get(scheduler)
-                        .ended(
+                        .onAttemptEnded(
                                 now + 50,
                                 TestSettings.outcome(id, 0, bad ? "w0" : "w3", bad ? Ending.ERROR : Ending.OK));
                 recordings.get(scheduler).lines.clear();
@@ -185,19 +185,19 @@
         List<double[]> sent = new ArrayList<>();
         Random random = new Random(5);
         for (Logic each : dispatchers) {
-            each.workers(1_000, ListMode.FULL, List.of(cold));
+            each.onWorkerList(1_000, ListMode.FULL, List.of(cold));
         }
         for (double now = 1_000; now < 11_000; now += 20) {
             for (int scheduler = 0; scheduler < schedulers; scheduler++) {
                 double cost = 50 + random.nextInt(400);
                 String id = "j" + now;
-                dispatchers.get(scheduler).arrived(now, TestSettings.job(id, 0, cost));
+                dispatchers.get(scheduler).onJobArrived(now, TestSettings.job(id, 0, cost));
                 for (String worker : answerAllProbes(scheduler, now, 4)) {
                     sent.add(new double[] {now, cost});
-                    dispatchers.get(scheduler).started(now + 1, id, 0, worker);
-                    dispatchers.get(scheduler).ended(now + 2, TestSettings.outcome(id, 0, worker, Ending.OK));
+                    dispatchers.get(scheduler).onAttemptStarted(now + 1, id, 0, worker);
+                    dispatchers.get(scheduler).onAttemptEnded(now + 2, TestSettings.outcome(id, 0, worker, Ending.OK));
                 }
-                dispatchers.get(scheduler).clientGone(now + 3, id);
+                dispatchers.get(scheduler).onClientGone(now + 3, id);
                 recordings.get(scheduler).lines.clear();
             }
         }
@@ -226,20 +226,20 @@
         double usual = 400;
         double mean = 0.4 * small + 0.6 * usual;
         WorkerEntry cold = new WorkerEntry("cold", 0, 0, 0, Phase.SERVING, 1, 1_000);
-        dispatchers.forEach(each -> each.workers(1_000, ListMode.FULL, List.of(cold)));
+        dispatchers.forEach(each -> each.onWorkerList(1_000, ListMode.FULL, List.of(cold)));
         List<Double> sentAt = new ArrayList<>();
         Random random = new Random(5);
         for (double now = 1_000; now < 11_000; now += 20) {
             for (int scheduler = 0; scheduler < schedulers; scheduler++) {
                 double cost = random.nextDouble() < 0.4 ? small : usual;
                 String id = "j" + now;
-                dispatchers.get(scheduler).arrived(now, TestSettings.job(id, 0, cost));
+                dispatchers.get(scheduler).onJobArrived(now, TestSettings.job(id, 0, cost));
                 for (String worker : answerAllProbes(scheduler, now, 4)) {
                     sentAt.add(now);
-                    dispatchers.get(scheduler).started(now + 1, id, 0, worker);
-                    dispatchers.get(scheduler).ended(now + 2, TestSettings.outcome(id, 0, worker, Ending.OK));
+                    dispatchers.get(scheduler).onAttemptStarted(now + 1, id, 0, worker);
+                    dispatchers.get(scheduler).onAttemptEnded(now + 2, TestSettings.outcome(id, 0, worker, Ending.OK));
                 }
-                dispatchers.get(scheduler).clientGone(now + 3, id);
+                dispatchers.get(scheduler).onClientGone(now + 3, id);
                 recordings.get(scheduler).lines.clear();
             }
         }
--- a/src/test/java/plumpost/dispatch/BansTest.java
+++ b/src/test/java/plumpost/dispatch/BansTest.java
@@ -14,15 +14,15 @@
     @Test
     void banAndUnbanReportWhatChanged() {
         Bans bans = new Bans();
-        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.UNKNOWN);
-        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.UNKNOWN);
+        assertThat(bans.ban("w1")).isEqualTo(Bans.BanResult.UNKNOWN);
+        assertThat(bans.unban("w1")).isEqualTo(Bans.BanResult.UNKNOWN);
         bans.recordListed("w1");
-        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.CHANGED);
-        assertThat(bans.ban("w1")).isEqualTo(Bans.Said.SAME);
+        assertThat(bans.ban("w1")).isEqualTo(Bans.BanResult.CHANGED);
+        assertThat(bans.ban("w1")).isEqualTo(Bans.BanResult.SAME);
         assertThat(bans.isBanned("w1")).isTrue();
-        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.CHANGED);
+        assertThat(bans.unban("w1")).isEqualTo(Bans.BanResult.CHANGED);
         assertThat(bans.isBanned("w1")).isFalse();
-        assertThat(bans.unban("w1")).isEqualTo(Bans.Said.SAME);
+        assertThat(bans.unban("w1")).isEqualTo(Bans.BanResult.SAME);
     }
 
     /** At an upgrade the new process takes over exactly the bans that the old one wrote, and knows their nodes. */
@@ -39,7 +39,7 @@
         restarted.ban("w3");
         assertThat(restarted.adopt(previous.text())).containsExactlyInAnyOrder("w1", "w2", "w3");
         assertThat(restarted.isBanned("w3")).isFalse();
-        assertThat(restarted.unban("w1")).isEqualTo(Bans.Said.CHANGED);
+        assertThat(restarted.unban("w1")).isEqualTo(Bans.BanResult.CHANGED);
         assertThat(restarted.adopt("w1\n\n  spaced  \n" + "x".repeat(300) + "\n"))
                 .containsExactlyInAnyOrder("w1", "w2");
         assertThat(restarted.bannedCount()).isEqualTo(1);
@@ -52,9 +52,9 @@
         for (int i = 0; i < listed; i++) {
             bans.recordListed("w" + i);
         }
-        assertThat(bans.ban("w" + (listed - 1))).isEqualTo(Bans.Said.CHANGED);
+        assertThat(bans.ban("w" + (listed - 1))).isEqualTo(Bans.BanResult.CHANGED);
         if (listed > Bans.MAX_REMEMBERED_IDS) {
-            assertThat(bans.ban("w0")).isEqualTo(Bans.Said.UNKNOWN);
+            assertThat(bans.ban("w0")).isEqualTo(Bans.BanResult.UNKNOWN);
         }
     }
 }
--- a/src/test/java/plumpost/dispatch/JobClassRegistryTest.java
+++ b/src/test/java/plumpost/dispatch/JobClassRegistryTest.java
@@ -73,7 +73,7 @@
     @Test
     void newClassIsServedAndRemovedClassIsRejected() {
         Scenario scenario = new Scenario(1);
-        scenario.room.retune(settings(CHANGED_SETTINGS));
+        scenario.core.retune(settings(CHANGED_SETTINGS));
         scenario.play("""
             desk2 send POST /pickup-order b 20000 y
             node1 expect POST /pickup-order b y
@@ -88,8 +88,8 @@
             desk3 send POST /pickup-order c 20000 y
             desk3 expect 404 *
             """);
-        assertThat(scenario.counters.of("jobs.failed.route-plan-r2")).isEqualTo(1);
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(2);
+        assertThat(scenario.counters.get("jobs.failed.route-plan-r2")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(2);
     }
 
     /** An open job gets no more attempts than the lowered limit allows. */
@@ -99,7 +99,7 @@
             desk1 send POST /route-plan a 8000 x
             wait 2
             """);
-        scenario.room.retune(settings(CHANGED_SETTINGS));
+        scenario.core.retune(settings(CHANGED_SETTINGS));
         scenario.play("""
             node1 send returned a
             wait 1000
@@ -108,9 +108,9 @@
             node1 send returned a
             wait 1000
             """);
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(2);
-        assertThat(scenario.counters.of("guard.attempts")).isZero();
-        assertThat(scenario.counters.of("jobs.refused.route-plan") + scenario.counters.of("jobs.failed.route-plan"))
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(2);
+        assertThat(scenario.counters.get("guard.attempts")).isZero();
+        assertThat(scenario.counters.get("jobs.refused.route-plan") + scenario.counters.get("jobs.failed.route-plan"))
                 .isEqualTo(1);
     }
 }
--- a/src/test/java/plumpost/dispatch/RuleGuardTest.java
+++ b/src/test/java/plumpost/dispatch/RuleGuardTest.java
@@ -45,7 +45,7 @@
         public void probe(Probe probe) {}
 
         @Override
-        public void leave() {}
+        public void closeIdle() {}
     };
 
     /** A core with a module that does nothing by itself. */
@@ -65,7 +65,7 @@
             });
 
     private void listNode(Phase phase, double startedAtMs) {
-        core.listed(
+        core.applyList(
                 nodeList,
                 ListMode.INCREMENTAL,
                 List.of(new ListedNode(new WorkerEntry("n", 0, 0, 0, phase, 1, startedAtMs), link)));
@@ -76,8 +76,8 @@
     }
 
     private void submit(String id, int classIndex, String uniqueKey, LeaseAuthority leaseAuthority) {
-        core.take(
-                new JobRequest(
+        core.submit(
+                new JobSpec(
                         id,
                         classIndex,
                         null,
@@ -112,17 +112,17 @@
     /** Requests an attempt and triggers an event, as requested actions are carried out with the next event. */
     private void assign(String id) {
         moduleActions.assign(id, "n", 0);
-        core.listed(nodeList, ListMode.FAILED, List.of());
+        core.applyList(nodeList, ListMode.FAILED, List.of());
     }
 
     private void refuse(String id) {
         moduleActions.refuse(id, 0);
-        core.listed(nodeList, ListMode.FAILED, List.of());
+        core.applyList(nodeList, ListMode.FAILED, List.of());
     }
 
     private void advanceMs(double ms) {
         nowMs += ms;
-        wheel.turnTo(nowMs);
+        wheel.advanceTo(nowMs);
     }
 
     /** No attempt is sent to a node that drains, is gone or was never listed. */
@@ -135,7 +135,7 @@
         listNode(Phase.DELETED, 0);
         assign("a");
         assertThat(sent).isEmpty();
-        assertThat(counters.of("guard.drain")).isEqualTo(3);
+        assertThat(counters.get("guard.drain")).isEqualTo(3);
     }
 
     /** Nothing is sent before the lease is granted, nor after that to a node that has started to drain meanwhile. */
@@ -145,18 +145,18 @@
         List<String> reports = new ArrayList<>();
         LeaseAuthority leaseAuthority = new LeaseAuthority() {
             @Override
-            public void ask(Attempt attempt, java.util.function.Consumer<Boolean> onDecision) {
+            public void requestLease(Attempt attempt, java.util.function.Consumer<Boolean> onDecision) {
                 decisions.add(onDecision);
             }
 
             @Override
-            public void unused(Attempt attempt) {
-                reports.add(attempt.sheet().id() + " unused");
+            public void leaseNotUsed(Attempt attempt) {
+                reports.add(attempt.spec().id() + " unused");
             }
 
             @Override
             public void ended(Attempt attempt, boolean neverRan) {
-                reports.add(attempt.sheet().id() + (neverRan ? " never ran" : " may have run"));
+                reports.add(attempt.spec().id() + (neverRan ? " never ran" : " may have run"));
             }
         };
         listNode(Phase.SERVING, 0);
@@ -180,7 +180,7 @@
                 .hasSize(1);
         assertThat(reports).containsExactly("a never ran", "c unused", "d unused");
         assertThat(answers).containsExactly("b refused", "c refused");
-        assertThat(counters.of("guard.refusal")).isZero();
+        assertThat(counters.get("guard.refusal")).isZero();
     }
 
     /** A job has one outstanding attempt at a time, six at most in total and none after its answer. */
@@ -191,7 +191,7 @@
         assign("a");
         assign("a");
         assertThat(sent).hasSize(1);
-        assertThat(counters.of("guard.second_copy")).isEqualTo(1);
+        assertThat(counters.get("guard.second_copy")).isEqualTo(1);
         for (int i = 0; i < 9; i++) {
             sent.get(sent.size() - 1).ended(Ending.FULL, null);
             assign("a");
@@ -202,7 +202,7 @@
         refuse("a");
         assign("a");
         assertThat(answers).containsExactly("a refused");
-        assertThat(counters.of("guard.over")).isEqualTo(1);
+        assertThat(counters.get("guard.over")).isEqualTo(1);
     }
 
     /** An order that may have run is neither sent again nor refused; one that never ran may be both. */
@@ -220,8 +220,8 @@
         refuse("b");
         assertThat(sent).hasSize(2);
         assertThat(answers).containsExactly("a failed", "b refused");
-        assertThat(counters.of("guard.repeat")).isEqualTo(1);
-        assertThat(counters.of("guard.refusal")).isEqualTo(1);
+        assertThat(counters.get("guard.repeat")).isEqualTo(1);
+        assertThat(counters.get("guard.refusal")).isEqualTo(1);
     }
 
     /** A job that the module does not answer fails soon after its deadline, and a late result is ignored. */
@@ -236,7 +236,7 @@
         sent.get(0).served(ByteBuffer.allocate(1), null);
         assertThat(sent).hasSize(1);
         assertThat(answers).containsExactly("a failed");
-        assertThat(counters.of("guard.unanswered")).isEqualTo(1);
+        assertThat(counters.get("guard.unanswered")).isEqualTo(1);
     }
 
     /** A cold node gets at most four outstanding attempts; a warm one gets as many as the module requests. */
@@ -248,7 +248,7 @@
             assign(id);
         }
         assertThat(sent).hasSize(4);
-        assertThat(counters.of("guard.cold")).isEqualTo(1);
+        assertThat(counters.get("guard.cold")).isEqualTo(1);
         advanceMs(300);
         assign("e");
         assertThat(sent).hasSize(5);
@@ -276,6 +276,6 @@
         advanceMs(20_001);
         submit("z2", SINGLE_SHOT_CLASS, "z");
         assertThat(answers).containsExactly("x served", "y served", "z refused", "x2 served");
-        assertThat(core.open()).isEqualTo(1);
+        assertThat(core.openJobCount()).isEqualTo(1);
     }
 }
--- a/src/test/java/plumpost/durable/OrderModel.java
+++ b/src/test/java/plumpost/durable/OrderModel.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import plumpost.durable.OrderLife.Deed;
+import plumpost.durable.OrderLife.Action;
 import plumpost.durable.OrderLife.Event;
 import plumpost.durable.OrderLife.State;
 import plumpost.durable.OrderLife.Step;
@@ -43,7 +43,7 @@
     record OrderRecord(State state, long fence, int worker) {}
 
     /** A pending write: the order's new state and the action that follows the write. */
-    record Write(int order, OrderRecord content, Deed action, boolean acknowledges) {}
+    record Write(int order, OrderRecord content, Action action, boolean acknowledges) {}
 
     /** State of the whole system; compared by {@link #key()}. */
     static final class SystemState {
@@ -148,14 +148,14 @@
 
     private void applyStep(SystemState system, int order, Step step, int worker) {
         system.memory[order] = new OrderRecord(step.state(), step.fence(), worker);
-        if (step.atOnce() != null) {
-            execute(system, order, step.atOnce());
+        if (step.immediateAction() != null) {
+            execute(system, order, step.immediateAction());
         }
-        Deed afterRecord = step.afterRecord();
-        if (afterRecord == Deed.KEEP_ONLY && mutation == Mutation.ANSWER_LATE_RESULTS) {
-            afterRecord = Deed.ANSWER_SERVED;
+        Action afterRecord = step.actionAfterWrite();
+        if (afterRecord == Action.KEEP_ONLY && mutation == Mutation.ANSWER_LATE_RESULTS) {
+            afterRecord = Action.ANSWER_SERVED;
         }
-        if (afterRecord == Deed.HAND_OUT && mutation == Mutation.HAND_OUT_BEFORE_WRITE) {
+        if (afterRecord == Action.HAND_OUT && mutation == Mutation.HAND_OUT_BEFORE_WRITE) {
             execute(system, order, afterRecord);
             afterRecord = null;
         }
@@ -164,7 +164,7 @@
         }
     }
 
-    private void execute(SystemState system, int order, Deed action) {
+    private void execute(SystemState system, int order, Action action) {
         switch (action) {
             case HAND_OUT -> {
                 OrderRecord current = system.memory[order];
@@ -315,7 +315,7 @@
         } else if (current.state().ended()
                 && system.pendingWrites.stream().noneMatch(write -> write.order() == order)) {
             // Answers with the kept outcome, whichever it is; an outcome that is not yet on disk is waited for.
-            execute(system, order, Deed.ANSWER_FAILED);
+            execute(system, order, Action.ANSWER_FAILED);
         }
     }
 
@@ -330,13 +330,13 @@
                 && (write.content().equals(system.memory[write.order()]) || isAnswer(write.action()))) {
             execute(system, write.order(), write.action());
         }
-        if (write.action() == Deed.KEEP_ONLY && system.clientState[write.order()] == 1) {
+        if (write.action() == Action.KEEP_ONLY && system.clientState[write.order()] == 1) {
             system.clientState[write.order()]++; // a client that resubmitted while the late result was being written
         }
     }
 
-    private static boolean isAnswer(Deed action) {
-        return action == Deed.ANSWER_SERVED || action == Deed.ANSWER_FAILED;
+    private static boolean isAnswer(Action action) {
+        return action == Action.ANSWER_SERVED || action == Action.ANSWER_FAILED;
     }
 
     private void crash(SystemState system, int kept) {
--- a/src/test/java/plumpost/fleet/FleetModel.java
+++ b/src/test/java/plumpost/fleet/FleetModel.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import plumpost.fleet.Entry.Offer;
-import plumpost.fleet.Plans.Job;
-import plumpost.fleet.Plans.State;
+import plumpost.fleet.PlannedJobs.Job;
+import plumpost.fleet.PlannedJobs.State;
 
 /**
  * A small model checker of the replicated state and of the schedulers that act on it. It explores three schedulers, two
@@ -41,7 +41,7 @@
 
     /** The state of the whole system: the replicated state, and by scheduler its incarnation, fence and view of the job. */
     static final class World {
-        FleetBook.Image state;
+        FleetState.Snapshot state;
         long[] incarnations = new long[3];
         long[] fences = new long[3];
         State[] observedStates = new State[3];
@@ -112,21 +112,21 @@
         return visited.size();
     }
 
-    private static FleetBook restoreState(World world) {
-        FleetBook restored = new FleetBook();
+    private static FleetState restoreState(World world) {
+        FleetState restored = new FleetState();
         restored.restore(world.state);
         return restored;
     }
 
     void explore() {
         World first = new World();
-        FleetBook initial = new FleetBook();
+        FleetState initial = new FleetState();
         for (int scheduler = 0; scheduler < 3; scheduler++) {
             first.incarnations[scheduler] =
                     initial.apply(join(scheduler, 0), 1, new ArrayList<>()).number();
         }
         initial.apply(new Entry.Plan(JOB, "function", "", BODY, 0, repeatable), 1, new ArrayList<>());
-        first.state = initial.image();
+        first.state = initial.snapshot();
         visit(first);
         while (!frontier.isEmpty() && violation == null) {
             expand(frontier.poll());
@@ -216,7 +216,7 @@
                         .mapToLong(Duties.Duty::fence)
                         .max()
                         .orElse(0);
-                next.state = new FleetBook.Image(
+                next.state = new FleetState.Snapshot(
                         next.state.sessions(),
                         new Duties.Snapshot(next.state.duties().duties(), highest - 1),
                         next.state.plannedJobs(),
@@ -237,7 +237,7 @@
     /** The scheduler's copy of the state catches up: it sees its duties and its job as they are. */
     private void observe(World world, int scheduler) {
         World next = world.copy();
-        FleetBook state = restoreState(world);
+        FleetState state = restoreState(world);
         Duties.Duty duty = state.duties().find("schedule");
         boolean live = state.sessions().live(NAMES[scheduler], world.incarnations[scheduler]);
         next.fences[scheduler] = !live
@@ -245,12 +245,12 @@
                 : duty.owner().equals(NAMES[scheduler]) && duty.incarnation() == world.incarnations[scheduler]
                         ? duty.fence()
                         : 0;
-        Job job = state.plans().find(JOB);
+        Job job = state.plannedJobs().find(JOB);
         next.observedStates[scheduler] = job != null
                         && job.target().equals(NAMES[scheduler])
                         && job.incarnation() == world.incarnations[scheduler]
                 ? job.state()
-                : job != null && (job.state() == State.WAITING || Plans.isStalled(job, state.sessions()))
+                : job != null && (job.state() == State.WAITING || PlannedJobs.isStalled(job, state.sessions()))
                         ? State.WAITING
                         : null;
         visit(next);
@@ -296,27 +296,27 @@
     }
 
     private Outcome applyEntry(World next, Entry entry) {
-        FleetBook state = restoreState(next);
+        FleetState state = restoreState(next);
         Outcome outcome = state.apply(entry, 1, new ArrayList<>());
-        next.state = state.image();
+        next.state = state.snapshot();
         return outcome;
     }
 
     private void apply(World next, Proposed proposal) {
-        FleetBook before = restoreState(next);
+        FleetState before = restoreState(next);
         Entry entry = proposal.entry;
         Duties.Duty duty = before.duties().find("schedule");
         if (fault == Fault.FENCE_NOT_CHECKED && entry instanceof Entry.Fire fire) {
             entry = new Entry.Fire(fire.id(), duty.fence(), fire.target(), fire.incarnation());
         }
         Outcome outcome = applyEntry(next, entry);
-        FleetBook after = restoreState(next);
+        FleetState after = restoreState(next);
         if (outcome.done() && proposal.entry instanceof Entry.Fire fire) {
             check(
                     next,
                     duty.fence() == fire.fence() && duty.owner().equals(NAMES[proposal.scheduler]),
                     "an action under fence " + fire.fence() + " while " + duty.fence() + " holds");
-            reached.add(before.plans().find(JOB).state() == State.FIRED ? "fired anew" : "fired");
+            reached.add(before.plannedJobs().find(JOB).state() == State.FIRED ? "fired anew" : "fired");
         } else if (!outcome.done() && proposal.entry instanceof Entry.Fire fire && fire.fence() != duty.fence()) {
             reached.add("old fence refused");
         }
@@ -324,7 +324,7 @@
             reached.add("begin refused");
         }
         if (fault == Fault.BEGUN_ORDERS_FIRED_AGAIN && entry instanceof Entry.Judge) {
-            next.state = new FleetBook.Image(
+            next.state = new FleetState.Snapshot(
                     next.state.sessions(),
                     next.state.duties(),
                     keepBegunOrderWaiting(before, after),
@@ -333,9 +333,9 @@
                     next.state.orders());
         }
         if (fault == Fault.LOST_SESSION_KEEPS_DUTIES && entry instanceof Entry.Judge) {
-            next.state = new FleetBook.Image(
+            next.state = new FleetState.Snapshot(
                     next.state.sessions(),
-                    before.image().duties(),
+                    before.snapshot().duties(),
                     next.state.plannedJobs(),
                     next.state.bans(),
                     next.state.discoveryReports(),
@@ -346,16 +346,16 @@
     }
 
     /** The planned jobs afterwards, with an order that the lost session had begun waiting again instead of given up. */
-    private static Plans.Snapshot keepBegunOrderWaiting(FleetBook before, FleetBook after) {
-        List<Job> jobs = new ArrayList<>(after.plans().all());
-        Job order = before.plans().find(JOB);
-        if (order != null && order.state() == State.BEGUN && after.plans().find(JOB) == null) {
+    private static PlannedJobs.Snapshot keepBegunOrderWaiting(FleetState before, FleetState after) {
+        List<Job> jobs = new ArrayList<>(after.plannedJobs().all());
+        Job order = before.plannedJobs().find(JOB);
+        if (order != null && order.state() == State.BEGUN && after.plannedJobs().find(JOB) == null) {
             jobs.add(order.withState(State.WAITING, "", 0, 0));
         }
-        return new Plans.Snapshot(jobs, after.plans().givenUp(), 0);
+        return new PlannedJobs.Snapshot(jobs, after.plannedJobs().givenUp(), 0);
     }
 
-    private void checkInvariants(World next, FleetBook before, FleetBook after) {
+    private void checkInvariants(World next, FleetState before, FleetState after) {
         Map<Long, String> owners = new HashMap<>();
         for (Duties.Duty duty : after.duties().all()) {
             Duties.Duty previous = before.duties().find(duty.name());
@@ -378,8 +378,8 @@
                 reached.add("owner changed");
             }
         }
-        Job job = after.plans().find(JOB);
-        boolean givenUp = after.plans().givenUp().contains(JOB);
+        Job job = after.plannedJobs().find(JOB);
+        boolean givenUp = after.plannedJobs().givenUp().contains(JOB);
         check(next, job != null || next.runs > 0 || !repeatable && givenUp, "a job is lost");
         check(
                 next,
--- a/src/test/java/plumpost/fleet/FleetSim.java
+++ b/src/test/java/plumpost/fleet/FleetSim.java
@@ -57,8 +57,8 @@
                             config.data(),
                             self,
                             config.members(),
-                            config.beatMs(),
-                            config.lostMs(),
+                            config.heartbeatMs(),
+                            config.sessionTimeoutMs(),
                             config.discoveryAgeMs(),
                             config.snapshotEvery(),
                             false,
@@ -72,9 +72,9 @@
                     wheel,
                     counters,
                     line -> {});
-            member.on(this);
+            member.setLog(this);
             member.started();
-            member.restored(state.image());
+            member.restored(state.snapshot());
             member.begin();
         }
 
@@ -135,13 +135,13 @@
         }
 
         @Override
-        public void beat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback) {
+        public void sendHeartbeat(String name, long incarnation, double leaderSilentMs, Consumer<Boolean> callback) {
             heartbeats++;
             if (disconnected) {
                 propose(null, outcome -> callback.accept(null));
             } else {
                 schedule(nowMs + drawDelayMs(), () -> {
-                    monitor.beat(name, incarnation, nowMs, behindMs());
+                    monitor.recordHeartbeat(name, incarnation, nowMs, behindMs());
                     boolean live = state.sessions().live(name, incarnation);
                     deliver(drawDelayMs(), () -> callback.accept(live));
                 });
@@ -176,7 +176,7 @@
             Member process = member;
             schedule(nowMs + 5, () -> {
                 if (process == member && !crashed && !suspended) {
-                    member.ended(job.id(), false);
+                    member.onJobEnded(job.id(), false);
                 }
             });
             return true;
@@ -186,20 +186,20 @@
         public void callBack(String id) {}
 
         @Override
-        public void told(String line) {}
+        public void onNodeListLine(String line) {}
 
         @Override
-        public void ask(boolean itself, boolean whole) {}
+        public void setDiscoveryQueries(boolean itself, boolean whole) {}
 
         @Override
-        public boolean hears() {
+        public boolean discoveryAnswers() {
             return false;
         }
     }
 
     final Random random;
-    final FleetBook state = new FleetBook();
-    final Beats monitor = new Beats(1000, 1500, 500);
+    final FleetState state = new FleetState();
+    final HeartbeatMonitor monitor = new HeartbeatMonitor(1000, 1500, 500);
     final List<SimulatedMember> members = new ArrayList<>();
     final Map<String, Integer> runCounts = new HashMap<>();
     final List<String> violations = new ArrayList<>();
@@ -229,7 +229,7 @@
                 1000,
                 false,
                 PeersConfig.Covered.NONE);
-        monitor.lead(nowMs);
+        monitor.startLeading(nowMs);
         for (int i = 0; i < memberCount; i++) {
             members.add(new SimulatedMember(i));
         }
@@ -245,15 +245,15 @@
     }
 
     private void checkHeartbeats() {
-        monitor.look(state.sessions().all(), 1, nowMs).forEach(this::apply);
+        monitor.check(state.sessions().all(), 1, nowMs).forEach(this::apply);
         schedule(nowMs + 100, this::checkHeartbeats);
     }
 
     private Outcome apply(Entry entry) {
-        Duties.Duty before = state.duties().find(FleetBook.SCHEDULE);
-        List<News> events = new ArrayList<>();
+        Duties.Duty before = state.duties().find(FleetState.SCHEDULE);
+        List<FleetEvent> events = new ArrayList<>();
         Outcome outcome = state.apply(entry, 1, events);
-        Duties.Duty after = state.duties().find(FleetBook.SCHEDULE);
+        Duties.Duty after = state.duties().find(FleetState.SCHEDULE);
         if (before != null && after.fence() < before.fence()) {
             violations.add("a fence went back");
         }
@@ -272,7 +272,7 @@
             }
             for (SimulatedMember member : members) {
                 if (!member.suspended && !member.crashed) {
-                    member.wheel.turnTo(nowMs);
+                    member.wheel.advanceTo(nowMs);
                 }
             }
         }
--- a/src/test/java/plumpost/fleet/FleetSimTest.java
+++ b/src/test/java/plumpost/fleet/FleetSimTest.java
@@ -32,7 +32,7 @@
                                 repeatable),
                         o -> {});
             }
-            Duties.Duty before = sim.state.duties().find(FleetBook.SCHEDULE);
+            Duties.Duty before = sim.state.duties().find(FleetState.SCHEDULE);
             FleetSim.SimulatedMember faulty =
                     sim.random.nextInt(3) > 0 && !before.owner().isEmpty()
                             ? sim.members.get(Integer.parseInt(before.owner().substring(1)))
@@ -58,12 +58,12 @@
                 faulty.restart(round + 1);
             }
             sim.advance(1000);
-            changes += sim.state.duties().find(FleetBook.SCHEDULE).fence() > before.fence() ? 1 : 0;
+            changes += sim.state.duties().find(FleetState.SCHEDULE).fence() > before.fence() ? 1 : 0;
         }
         sim.advance(8000);
         assertThat(sim.violations).isEmpty();
         assertThat(changes).isGreaterThan(5);
-        assertThat(sim.state.plans().all()).as("no job is left over").isEmpty();
+        assertThat(sim.state.plannedJobs().all()).as("no job is left over").isEmpty();
         int neverRun = 0;
         for (int i = 0; i < planned; i++) {
             assertThat(sim.runCounts.getOrDefault("order" + i, 0))
@@ -92,7 +92,7 @@
                 sim.advance(500 + delayMs);
                 sim.members.get(stopping).member.stop();
                 sim.advance(4000);
-                assertThat(sim.state.plans().snapshot().givenUp())
+                assertThat(sim.state.plannedJobs().snapshot().givenUp())
                         .as("s%d stopped %d ms after the jobs were due", stopping, delayMs)
                         .isEmpty();
                 assertThat(sim.runCounts)
--- a/src/test/java/plumpost/fleet/FleetBookTest.java
+++ b/src/test/java/plumpost/fleet/FleetStateTest.java
@@ -16,9 +16,9 @@
 import plumpost.fleet.Entry.Verdict;
 
 /** The fleet's replicated state, its encoding, and the leader's failure detector. */
-class FleetBookTest {
-    private final FleetBook state = new FleetBook();
-    private final List<News> events = new ArrayList<>();
+class FleetStateTest {
+    private final FleetState state = new FleetState();
+    private final List<FleetEvent> events = new ArrayList<>();
 
     private Outcome apply(Entry entry) {
         return state.apply(entry, 7, events);
@@ -91,14 +91,14 @@
         join("b", "north", "1");
         Duties.Duty duty = state.duties().find("discovery/north");
         assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 1, false, "x"))
-                        .words())
+                        .detail())
                 .contains("whole list");
         assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 1, true, "w"))
                         .done())
                 .isTrue();
         assertThat(apply(new Entry.Yield(duty.name(), duty.fence())).done()).isTrue();
         assertThat(apply(new Entry.Word(duty.name(), duty.fence(), 2, true, "late"))
-                        .words())
+                        .detail())
                 .contains("is old");
         assertThat(apply(new Entry.Yield(duty.name(), duty.fence())).done()).isFalse();
         assertThat(state.discoveryReports(duty.name()))
@@ -106,10 +106,10 @@
                 .containsExactly("w");
         apply(new Entry.Remove("a"));
         assertThat(apply(new Entry.Join("a", "north", "disk-a", true, "9", 1, List.of()))
-                        .words())
+                        .detail())
                 .contains("removed");
-        assertThat(apply(new Entry.Remove("z")).words()).contains("no scheduler z");
-        assertThat(events).filteredOn(n -> n instanceof News.EntryRefused).hasSize(5);
+        assertThat(apply(new Entry.Remove("z")).detail()).contains("no scheduler z");
+        assertThat(events).filteredOn(n -> n instanceof FleetEvent.EntryRefused).hasSize(5);
     }
 
     /**
@@ -126,13 +126,13 @@
             assertThat(apply(new Entry.Fire(id, fence, "a", a)).done()).isTrue();
         }
         assertThat(apply(new Entry.Plan("other", "f", "key-told", new byte[3], 9, false))
-                        .words())
+                        .detail())
                 .isEqualTo("told");
         apply(new Entry.Begin("begun", "a", a));
         apply(new Entry.Begin("again", "a", a));
         assertThat(apply(new Entry.CallOff("begun")).done()).isFalse();
         apply(new Entry.Judge("a", a, Verdict.LOST, 7));
-        assertThat(state.plans().givenUp()).containsExactly("begun");
+        assertThat(state.plannedJobs().givenUp()).containsExactly("begun");
         assertThat(apply(new Entry.Begin("told", "a", a)).done())
                 .as("a lost session begins nothing")
                 .isFalse();
@@ -144,7 +144,7 @@
                 .isFalse();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isTrue();
         assertThat(apply(new Entry.End("told", "b", b, false)).done()).isFalse();
-        assertThat(state.plans().all()).extracting(Plans.Job::id).containsExactly("again");
+        assertThat(state.plannedJobs().all()).extracting(PlannedJobs.Job::id).containsExactly("again");
     }
 
     /** Snapshots and entries round-trip; those of a newer format and damaged ones are refused with a message. */
@@ -153,27 +153,27 @@
         plannedJobsOfALostSessionAreReassignedOrGivenUp();
         apply(new Entry.Ban("n1", true));
         ByteArrayOutputStream snapshot = new ByteArrayOutputStream();
-        FleetCodec.write(state, snapshot);
-        FleetBook other = new FleetBook();
-        other.restore(FleetCodec.snapshot(new ByteArrayInputStream(snapshot.toByteArray())));
+        FleetCodec.writeSnapshot(state, snapshot);
+        FleetState other = new FleetState();
+        other.restore(FleetCodec.readSnapshot(new ByteArrayInputStream(snapshot.toByteArray())));
         ByteArrayOutputStream secondSnapshot = new ByteArrayOutputStream();
-        FleetCodec.write(other, secondSnapshot);
+        FleetCodec.writeSnapshot(other, secondSnapshot);
         assertThat(secondSnapshot.toByteArray()).isEqualTo(snapshot.toByteArray());
         long fence = other.duties().find("schedule").fence();
         other.apply(new Entry.Yield("schedule", fence), 7, events);
         other.apply(new Entry.Join("n", "north", "d", true, "1", 1, List.of(new Offer("new", ""))), 7, events);
         assertThat(other.duties().find("new").fence()).as("no fence is reused").isGreaterThan(fence);
-        byte[] encoded = FleetCodec.bytes(new Entry.Ban("n1", true), 1);
-        assertThat(FleetCodec.entry(encoded)).isEqualTo(new Entry.Ban("n1", true));
+        byte[] encoded = FleetCodec.encode(new Entry.Ban("n1", true), 1);
+        assertThat(FleetCodec.decodeEntry(encoded)).isEqualTo(new Entry.Ban("n1", true));
         byte[] newer = encoded.clone();
         newer[1] = 2;
-        assertThatThrownBy(() -> FleetCodec.entry(newer)).hasMessageContaining("record format 2");
+        assertThatThrownBy(() -> FleetCodec.decodeEntry(newer)).hasMessageContaining("record format 2");
         byte[] newerSnapshot = snapshot.toByteArray();
         newerSnapshot[1] = 9;
-        assertThatThrownBy(() -> FleetCodec.snapshot(new ByteArrayInputStream(newerSnapshot)))
+        assertThatThrownBy(() -> FleetCodec.readSnapshot(new ByteArrayInputStream(newerSnapshot)))
                 .hasMessageContaining("format 9");
-        assertThatThrownBy(() -> FleetCodec.entry(Arrays.copyOf(encoded, encoded.length - 1)))
-                .isInstanceOf(FleetCodec.Unreadable.class);
+        assertThatThrownBy(() -> FleetCodec.decodeEntry(Arrays.copyOf(encoded, encoded.length - 1)))
+                .isInstanceOf(FleetCodec.UnreadableException.class);
     }
 
     /** The record format rises once all members read it and never falls; a program that does not read it cannot join. */
@@ -181,18 +181,18 @@
     void theFormatIsRaisedOnceEveryMemberReadsIt() {
         join("a", "north", "1");
         apply(new Entry.Join("b", "north", "disk-b", true, "1", 2, List.of()));
-        assertThat(apply(new Entry.Raise(2)).words()).contains("not read by all, 1 is");
+        assertThat(apply(new Entry.Raise(2)).detail()).contains("not read by all, 1 is");
         long a = apply(new Entry.Join("a", "north", "disk-a", true, "2", 3, List.of()))
                 .number();
         assertThat(apply(new Entry.Raise(2)).done()).isTrue();
         apply(new Entry.Raise(1));
         assertThat(state.sessions().format()).isEqualTo(2);
         assertThat(apply(new Entry.Join("c", "north", "disk-c", true, "1", 1, List.of()))
-                        .words())
+                        .detail())
                 .contains("writes record format 2, the program of c reads 1 to 1");
         assertThat(state.sessions().live("a", a)).isTrue();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        FleetCodec.write(state, out);
+        FleetCodec.writeSnapshot(state, out);
         assertThat(out.toByteArray()[1]).as("the snapshot's format").isEqualTo((byte) 2);
     }
 
@@ -200,14 +200,14 @@
     @Property(tries = 300)
     void arbitraryBytesDecodeOrFailAsUnreadable(@ForAll byte[] randomBytes, @ForAll int seed) {
         Random random = new Random(seed);
-        byte[] corrupted = FleetCodec.bytes(new Entry.Plan("i", "f", "u", new byte[9], 1, true), 1);
+        byte[] corrupted = FleetCodec.encode(new Entry.Plan("i", "f", "u", new byte[9], 1, true), 1);
         for (int n = random.nextInt(4); n >= 0; n--) {
             corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
         }
         for (byte[] bytes : List.of(randomBytes, corrupted)) {
             try {
-                assertThat(FleetCodec.entry(bytes)).isNotNull();
-            } catch (FleetCodec.Unreadable failure) {
+                assertThat(FleetCodec.decodeEntry(bytes)).isNotNull();
+            } catch (FleetCodec.UnreadableException failure) {
                 assertThat(failure.getMessage()).isNotEmpty();
             }
         }
@@ -217,27 +217,27 @@
     @Test
     void aLeaderThatWasSuspendedCountsSilenceAnew() {
         long a = join("a", "north", "1");
-        Beats monitor = new Beats(1000, 1500, 500);
-        assertThat(monitor.look(state.sessions().all(), 7, 50_000)).isEmpty();
+        HeartbeatMonitor monitor = new HeartbeatMonitor(1000, 1500, 500);
+        assertThat(monitor.check(state.sessions().all(), 7, 50_000)).isEmpty();
         for (double now = 50_100; now < 50_900; now += 100) {
-            assertThat(monitor.look(state.sessions().all(), 7, now)).isEmpty();
+            assertThat(monitor.check(state.sessions().all(), 7, now)).isEmpty();
         }
-        monitor.beat("a", a, 50_900, 0);
-        assertThat(monitor.look(state.sessions().all(), 7, 51_000)).isEmpty();
-        assertThat(monitor.look(state.sessions().all(), 7, 90_000))
+        monitor.recordHeartbeat("a", a, 50_900, 0);
+        assertThat(monitor.check(state.sessions().all(), 7, 51_000)).isEmpty();
+        assertThat(monitor.check(state.sessions().all(), 7, 90_000))
                 .as("suspended for 39 s")
                 .isEmpty();
         List<Entry> proposals = new ArrayList<>();
         for (double now = 90_100; now <= 91_500 && proposals.size() < 2; now += 100) {
-            proposals = monitor.look(state.sessions().all(), 7, now);
+            proposals = monitor.check(state.sessions().all(), 7, now);
             proposals.forEach(this::apply);
             proposals.stream()
                     .filter(x -> ((Entry.Judge) x).verdict() == Verdict.LOST)
-                    .forEach(x -> assertThat(state.sessions().of("a").live()).isFalse());
+                    .forEach(x -> assertThat(state.sessions().find("a").live()).isFalse());
         }
-        assertThat(state.sessions().of("a").state()).isEqualTo(Sessions.State.LOST);
+        assertThat(state.sessions().find("a").state()).isEqualTo(Sessions.State.LOST);
         join("a", "north", "2");
-        assertThat(monitor.look(state.sessions().all(), 7, 91_600))
+        assertThat(monitor.check(state.sessions().all(), 7, 91_600))
                 .as("silence of a new session counts from when it is first seen")
                 .isEmpty();
     }
--- a/src/test/java/plumpost/fleet/OrdersModel.java
+++ b/src/test/java/plumpost/fleet/OrdersModel.java
@@ -36,7 +36,7 @@
     private record Lease(int scheduler, int order, int number) {}
 
     private static final class World {
-        FleetBook.Image state;
+        FleetState.Snapshot state;
         /** By scheduler, the incarnations of its sessions, the present one last. */
         List<List<Long>> incarnations = new ArrayList<>();
 
@@ -122,8 +122,8 @@
         return visited.size();
     }
 
-    private static FleetBook restoreState(World world) {
-        FleetBook restored = new FleetBook();
+    private static FleetState restoreState(World world) {
+        FleetState restored = new FleetState();
         restored.restore(world.state);
         return restored;
     }
@@ -134,7 +134,7 @@
 
     void explore() {
         World world = new World();
-        FleetBook initial = new FleetBook();
+        FleetState initial = new FleetState();
         for (int scheduler = 0; scheduler < NAMES.length; scheduler++) {
             world.incarnations.add(new ArrayList<>(List.of(
                     initial.apply(join(scheduler, 0), 1, new ArrayList<>()).number())));
@@ -156,7 +156,7 @@
                     new ArrayList<>());
         }
         world.runs = new int[orderCount];
-        world.state = initial.image();
+        world.state = initial.snapshot();
         visit(world);
         while (!frontier.isEmpty() && violation == null) {
             expand(frontier.poll());
@@ -171,7 +171,7 @@
                 true,
                 "n" + processNumber,
                 1,
-                List.of(new Offer(FleetBook.LEDGER, "")));
+                List.of(new Offer(FleetState.LEDGER, "")));
     }
 
     private void visit(World world) {
@@ -185,7 +185,7 @@
     }
 
     private void expand(World world) {
-        FleetBook state = restoreState(world);
+        FleetState state = restoreState(world);
         for (int scheduler = 0; scheduler < NAMES.length; scheduler++) {
             for (long incarnation : world.incarnations.get(scheduler)) {
                 for (int index = 0; index < orderCount; index++) {
@@ -255,7 +255,7 @@
     }
 
     /** Applies everything that a session may propose on an order, whatever the age of its copy of the state. */
-    private void proposeAll(World world, FleetBook state, int scheduler, long incarnation, int index) {
+    private void proposeAll(World world, FleetState state, int scheduler, long incarnation, int index) {
         SessionId session = new SessionId(NAMES[scheduler], incarnation);
         Order order = state.orders().find(id(index));
         for (Entry entry :
@@ -305,8 +305,8 @@
     }
 
     private Outcome apply(World next, Entry entry, int leaser) {
-        FleetBook before = restoreState(next);
-        FleetBook state = restoreState(next);
+        FleetState before = restoreState(next);
+        FleetState state = restoreState(next);
         if (fault == Fault.OLD_LEASE_HANDS_BACK
                 && entry instanceof Entry.Told command
                 && command.event() == Event.HANDED_BACK) {
@@ -318,7 +318,7 @@
                     EMPTY);
         }
         Outcome outcome = state.apply(entry, 1, new ArrayList<>());
-        next.state = fault == Fault.NOTHING ? state.image() : injectFault(before, state.image(), entry);
+        next.state = fault == Fault.NOTHING ? state.snapshot() : injectFault(before, state.snapshot(), entry);
         if (outcome.done() && leaser >= 0 && entry instanceof Entry.Told command) {
             next.leases.add(new Lease(leaser, Integer.parseInt(command.id().substring(1)), (int) outcome.number()));
         }
@@ -327,7 +327,7 @@
     }
 
     /** Returns the state that a ledger with the injected fault would leave. */
-    private FleetBook.Image injectFault(FleetBook before, FleetBook.Image after, Entry entry) {
+    private FleetState.Snapshot injectFault(FleetState before, FleetState.Snapshot after, Entry entry) {
         List<Order> orders = new ArrayList<>();
         for (Order order : after.orders().orders()) {
             Order previous = before.orders().find(order.id());
@@ -348,7 +348,7 @@
             }
             orders.add(order);
         }
-        return new FleetBook.Image(
+        return new FleetState.Snapshot(
                 after.sessions(),
                 after.duties(),
                 after.plannedJobs(),
@@ -357,7 +357,7 @@
                 new Orders.Snapshot(orders));
     }
 
-    private void checkInvariants(World next, FleetBook before, FleetBook after, Entry entry, Outcome outcome) {
+    private void checkInvariants(World next, FleetState before, FleetState after, Entry entry, Outcome outcome) {
         for (Order order : after.orders().all()) {
             Order previous = before.orders().find(order.id());
             int index = Integer.parseInt(order.id().substring(1));
--- a/src/test/java/plumpost/fleet/OrdersTest.java
+++ b/src/test/java/plumpost/fleet/OrdersTest.java
@@ -14,7 +14,7 @@
 
 /** The fleet's ledger in single steps; {@link OrdersModel} explores every interleaving. */
 class OrdersTest {
-    private final FleetBook state = new FleetBook();
+    private final FleetState state = new FleetState();
     private final SessionId sessionA = join("a");
     private final SessionId sessionB = join("b");
 
@@ -25,7 +25,7 @@
     private SessionId join(String name) {
         return new SessionId(
                 name,
-                apply(new Entry.Join(name, "", "disk-" + name, true, "n", 1, List.of(new Offer(FleetBook.LEDGER, ""))))
+                apply(new Entry.Join(name, "", "disk-" + name, true, "n", 1, List.of(new Offer(FleetState.LEDGER, ""))))
                         .number());
     }
 
@@ -42,16 +42,16 @@
     }
 
     private long fence() {
-        return state.duties().find(FleetBook.LEDGER).fence();
+        return state.duties().find(FleetState.LEDGER).fence();
     }
 
     /** Two clients that submit the same key at two schedulers at the same time get one order with one handle. */
     @Test
     void ordersWithEqualKeysAreOneOrder() {
-        assertThat(take(sessionA, "H:a:1", "k", false).words()).isEqualTo("H:a:1");
-        assertThat(take(sessionB, "H:b:1", "k", false).words()).isEqualTo("H:a:1");
-        assertThat(take(sessionB, "H:b:2", "", false).words()).isEqualTo("H:b:2");
-        assertThat(take(sessionB, "H:b:3", "", false).words())
+        assertThat(take(sessionA, "H:a:1", "k", false).detail()).isEqualTo("H:a:1");
+        assertThat(take(sessionB, "H:b:1", "k", false).detail()).isEqualTo("H:a:1");
+        assertThat(take(sessionB, "H:b:2", "", false).detail()).isEqualTo("H:b:2");
+        assertThat(take(sessionB, "H:b:3", "", false).detail())
                 .as("orders without a key are separate")
                 .isEqualTo("H:b:3");
         assertThat(state.orders().findByKey("f", "k").holder()).isEqualTo("a");
@@ -66,7 +66,7 @@
         take(sessionA, "plan", "3", true);
         assertThat(report(sessionA, "out", Event.LEASE, 0).number()).isEqualTo(1);
         assertThat(report(sessionA, "plan", Event.LEASE, 0).number()).isEqualTo(1);
-        assertThat(report(sessionB, "held", Event.LEASE, 0).words())
+        assertThat(report(sessionB, "held", Event.LEASE, 0).detail())
                 .contains("is not b#" + sessionB.incarnation() + "'s to lease");
         assertThat(apply(new Entry.Claim(sessionB, List.of("held", "out"))).number())
                 .as("session a is live")
@@ -81,7 +81,7 @@
         assertThat(order("held").holder()).isEqualTo("b");
         assertThat(order("out").state()).isEqualTo(State.AWAITED);
         assertThat(apply(new Entry.Settle(fence() - 1, List.of("out"), List.of()))
-                        .words())
+                        .detail())
                 .contains("is old");
         apply(new Entry.Settle(fence(), List.of("held", "out", "plan"), List.of("held")));
         assertThat(order("out").state()).isEqualTo(State.UNKNOWN);
@@ -111,7 +111,7 @@
         assertThat(Orders.isFree(order("held"))).isTrue();
         assertThat(report(sessionA, "out", Event.DONE, 1).done()).isTrue();
         assertThat(order("out").state()).isEqualTo(State.SERVED);
-        assertThat(take(sessionB, "again", "2", false).words())
+        assertThat(take(sessionB, "again", "2", false).detail())
                 .as("a second submission finds the outcome")
                 .isEqualTo("out");
     }
@@ -134,9 +134,9 @@
         take(sessionA, "one", "k", false);
         report(sessionA, "one", Event.LEASE, 0);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        FleetCodec.write(state, out);
-        FleetBook other = new FleetBook();
-        other.restore(FleetCodec.snapshot(new ByteArrayInputStream(out.toByteArray())));
+        FleetCodec.writeSnapshot(state, out);
+        FleetState other = new FleetState();
+        other.restore(FleetCodec.readSnapshot(new ByteArrayInputStream(out.toByteArray())));
         assertThat(other.orders().findByKey("f", "k").lease()).isEqualTo(1);
         assertThat(other.apply(
                                 new Entry.Take(
@@ -151,7 +151,7 @@
                                         true),
                                 1,
                                 new ArrayList<>())
-                        .words())
+                        .detail())
                 .contains("the fleet's ledger is full: 1 orders, 3 bytes");
     }
 }
--- a/src/test/java/plumpost/gearman/GearmanEdgeCasesTest.java
+++ b/src/test/java/plumpost/gearman/GearmanEdgeCasesTest.java
@@ -21,7 +21,7 @@
 /** Edge cases of the Gearman front, in memory: wake-ups, flapping and returning workers, floods, hostile input. */
 class GearmanEdgeCasesTest {
     private static GearmanConfig config(double holdMs, int openJobs) {
-        GearmanConfig.Limits defaults = GearmanConfig.Limits.USUAL;
+        GearmanConfig.Limits defaults = GearmanConfig.Limits.DEFAULT;
         return new GearmanConfig(
                 null,
                 0,
@@ -60,11 +60,11 @@
         final Map<String, PacketReader> readers = new HashMap<>();
 
         Peers(Scenario scenario) {
-            rig = scenario.rig();
+            rig = scenario.scriptRig();
         }
 
         void send(String peer, Type type, Object... arguments) {
-            for (ByteBuffer buffer : Packet.bytes(Packet.REQUEST, type, arguments)) {
+            for (ByteBuffer buffer : Packet.encode(Packet.REQUEST, type, arguments)) {
                 byte[] bytes = new byte[buffer.remaining()];
                 buffer.get(bytes);
                 rig.send(peer, bytes);
@@ -72,7 +72,7 @@
         }
 
         List<Packet> read(String peer) {
-            byte[] bytes = rig.take(peer, 0);
+            byte[] bytes = rig.receive(peer, 0);
             List<Packet> packets = new ArrayList<>();
             ByteBuffer input = ByteBuffer.wrap(bytes == null ? new byte[0] : bytes);
             PacketReader reader =
@@ -124,7 +124,7 @@
                     state = 2;
                 }
                 case 4 -> {
-                    peers.send("w", Type.WORK_COMPLETE, job.parts().get(0), "r");
+                    peers.send("w", Type.WORK_COMPLETE, job.arguments().get(0), "r");
                     completed++;
                     state = 1;
                 }
@@ -157,17 +157,17 @@
                                 peers.send("c", Type.SUBMIT_JOB, "route-plan", "", "x");
                             }
                             worker.step();
-                            peers.rig.pass(gapMs);
+                            peers.rig.advance(gapMs);
                         }
                         for (int i = 0; i < 30 && worker.completed < 2; i++) {
                             if (!worker.step()) {
-                                peers.rig.pass(2);
+                                peers.rig.advance(2);
                             }
                         }
                         assertThat(worker.completed)
                                 .as("jobs at %d and %d, hold %s, gap %s", first, second, holdMs, gapMs)
                                 .isEqualTo(2);
-                        assertThat(scenario.counters.of("gearman.not_grabbed")).isZero();
+                        assertThat(scenario.counters.get("gearman.not_grabbed")).isZero();
                     }
                 }
             }
@@ -215,10 +215,10 @@
             plug9 send PRE_SLEEP
             """;
         scenario.play(connect + "plug9 expect NOOP\nplug9 close\n" + connect + "plug9 expect nothing\nplug9 close");
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(1);
         scenario.play("wait 600\n" + connect + "wait 110\nplug9 expect NOOP\nplug9 close\n" + connect
                 + "wait 110\nplug9 expect nothing\nplug9 close");
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(2);
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(2);
         scenario.play("""
             plug8 send SET_CLIENT_ID|good
             plug8 send CAN_DO|pickup-order
@@ -240,10 +240,10 @@
             scenario.play("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*");
         }
         scenario.play("wait 5000");
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
-        assertThat(scenario.counters.of("gearman.not_grabbed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.get("gearman.not_grabbed")).isEqualTo(1);
         scenario.play("plug9 send GRAB_JOB\nwait 100");
-        assertThat(scenario.counters.of("attempts.out"))
+        assertThat(scenario.counters.get("attempts.out"))
                 .as("its grab shows that it is alive")
                 .isGreaterThan(1);
     }
@@ -266,7 +266,7 @@
             worker.step();
         }
         assertThat(worker.completed).isEqualTo(100_000);
-        assertThat(scenario.room.open()).isZero();
+        assertThat(scenario.core.openJobCount()).isZero();
     }
 
     /** A list of many jobs is written in full, in chunks, and the connection then answers further commands. */
@@ -279,11 +279,11 @@
             peers.read("c");
         }
         peers.rig.send("a", "show jobs\n".getBytes(StandardCharsets.US_ASCII));
-        String list = new String(peers.rig.take("a", 0), StandardCharsets.US_ASCII);
+        String list = new String(peers.rig.receive("a", 0), StandardCharsets.US_ASCII);
         assertThat(list.lines().count()).isEqualTo(20_001);
         assertThat(list).endsWith("\n.\n");
         peers.rig.send("a", "version\n".getBytes(StandardCharsets.US_ASCII));
-        assertThat(new String(peers.rig.take("a", 0), StandardCharsets.US_ASCII))
+        assertThat(new String(peers.rig.receive("a", 0), StandardCharsets.US_ASCII))
                 .startsWith("OK ");
     }
 
@@ -296,14 +296,14 @@
             peers.send("plug-w" + i, Type.CAN_DO, "route-plan");
             peers.send("plug-w" + i, Type.PRE_SLEEP);
             if (i % 10 == 0) {
-                peers.rig.pass(2);
+                peers.rig.advance(2);
             }
         }
         for (int i = 0; i < 5000; i++) {
             peers.send("c", Type.SUBMIT_JOB, "route-plan", "", "x");
             peers.read("c");
         }
-        peers.rig.pass(1500);
+        peers.rig.advance(1500);
         int woken = 0;
         for (int i = 0; i < 5000; i++) {
             woken += peers.read("plug-w" + i).size();
@@ -358,7 +358,7 @@
         String handle = peers.read("good").get(0).text(0);
         for (int i = 0; i < packets; i++) {
             Type type = Type.values()[random.nextInt(Type.values().length)];
-            Object[] arguments = new Object[random.nextInt(8) == 0 ? random.nextInt(9) : type.arguments()];
+            Object[] arguments = new Object[random.nextInt(8) == 0 ? random.nextInt(9) : type.argumentCount()];
             for (int a = 0; a < arguments.length; a++) {
                 arguments[a] = List.of("route-plan", "", handle, "12", "u", "exceptions", "-", "1.5", "x".repeat(300))
                         .get(random.nextInt(9));
@@ -367,7 +367,7 @@
                 arguments = new Object[] {"route-plan"
                 }; // valid jobs would reach the worker as well, so only malformed ones
             }
-            byte[] bytes = concatenate(Packet.bytes(Packet.REQUEST, type, arguments));
+            byte[] bytes = concatenate(Packet.encode(Packet.REQUEST, type, arguments));
             for (int flips = random.nextInt(3); flips > 0 && bytes.length > 0; flips--) {
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
             }
@@ -380,7 +380,7 @@
             assertThat(p.text(0)).isEqualTo(handle);
         });
         assertThat(scenario.log).noneMatch(l -> l.contains("fault"));
-        assertThat(scenario.room.open()).isPositive();
+        assertThat(scenario.core.openJobCount()).isPositive();
         assertThat(scenario.counters.toString()).doesNotContain("guard.");
     }
 
--- a/src/test/java/plumpost/gearman/GearmanTest.java
+++ b/src/test/java/plumpost/gearman/GearmanTest.java
@@ -97,7 +97,7 @@
             plug8 send WORK_COMPLETE|$|van
             plug1 expect WORK_COMPLETE|H:t:*|van
             """);
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(1);
     }
 
     /** A route plan may run twice: when its worker is lost it goes to another one. */
@@ -135,7 +135,7 @@
             plug4 expect WORK_COMPLETE|*|van
             plug9 expect nothing
             """);
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(1);
     }
 
     /** The unique key {@code -} stands for the data itself, however long it is. */
@@ -145,7 +145,7 @@
         Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order|-|" + data + "\nplug1 expect JOB_CREATED|*\n"
                 + "plug2 send SUBMIT_JOB|pickup-order|-|" + data + "\nplug2 expect JOB_CREATED|*\n"
                 + "plug2 send SUBMIT_JOB|pickup-order|-|other\nplug2 expect JOB_CREATED|*\n");
-        assertThat(scenario.counters.of("jobs.joined")).isEqualTo(1);
+        assertThat(scenario.counters.get("jobs.joined")).isEqualTo(1);
     }
 
     /** A peer that sends a packet byte by byte without end must not hold its connection. */
@@ -167,7 +167,7 @@
             plug1 expect JOB_CREATED|*
             plug1 expect WORK_FAIL|*
             """);
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(1);
     }
 
     /** Exactly one WORK_FAIL is sent at the deadline if the worker never finishes or no worker runs the class. */
@@ -238,16 +238,16 @@
             steps.append("plug1 send SUBMIT_JOB_BG|route-plan||x\nplug1 expect JOB_CREATED|*\n");
         }
         Scenario scenario = new Scenario(0).play(steps + "wait 100");
-        assertThat(scenario.counters.of("attempts.out")).isLessThanOrEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isLessThanOrEqualTo(1);
         scenario.play("wait 700");
-        assertThat(scenario.counters.of("attempts.out")).isPositive();
+        assertThat(scenario.counters.get("attempts.out")).isPositive();
     }
 
     /** A job that a woken worker does not grab within a second ends there as never started, and its client waits on. */
     @Test
     void jobThatIsNotGrabbedEndsAsNeverStarted() {
         Scenario scenario = play("plug1 send SUBMIT_JOB|pickup-order||x\nplug1 expect JOB_CREATED|*\nwait 1010");
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(1);
         scenario.play("plug1 expect nothing");
     }
 
--- a/src/test/java/plumpost/lab/ConformanceTest.java
+++ b/src/test/java/plumpost/lab/ConformanceTest.java
@@ -56,8 +56,8 @@
     @MethodSource("cases")
     void inMemory(Script.Case testCase) {
         Scenario scenario = new Scenario(
-                0, Scenario.SETTINGS.replace("\"coldMs\":400.0", "\"coldMs\":0.0"), 1024, setUp(testCase.on()), 64);
-        assertThat(Conformance.play(testCase, scenario.rig(), 2000, "1").failure())
+                0, Scenario.SETTINGS.replace("\"coldMs\":400.0", "\"coldMs\":0.0"), 1024, setUp(testCase.setup()), 64);
+        assertThat(Conformance.play(testCase, scenario.scriptRig(), 2000, "1").failure())
                 .isNull();
         assertThat(scenario.counters.toString()).doesNotContain("guard.").doesNotContain("fault");
     }
@@ -76,7 +76,7 @@
                 List<Future<Conformance.Result>> running = new ArrayList<>();
                 int caseNumber = 0;
                 for (Script.Case testCase : Conformance.cases(setup::equals)) {
-                    if (priorityCases != testCase.steps().get(0).place().startsWith("priority.plug")) {
+                    if (priorityCases != testCase.steps().get(0).location().startsWith("priority.plug")) {
                         continue;
                     }
                     String mark = setup + caseNumber++;
@@ -94,7 +94,7 @@
         }
         assertThat(results.stream()
                         .filter(r -> r.failure() != null)
-                        .map(r -> r.example().title() + ": " + r.failure()))
+                        .map(r -> r.testCase().title() + ": " + r.failure()))
                 .isEmpty();
         assertThat(results).hasSizeGreaterThanOrEqualTo(150);
     }
@@ -132,7 +132,7 @@
             public void send(String who, byte[] bytes) {}
 
             @Override
-            public byte[] take(String who, double longestMs) {
+            public byte[] receive(String who, double longestMs) {
                 return new byte[0];
             }
 
@@ -140,7 +140,7 @@
             public void close(String who) {}
 
             @Override
-            public void pass(double ms) {}
+            public void advance(double ms) {}
         };
         assertThat(cases().filter(c -> Conformance.play(c, silent, 1, "1").failure() == null))
                 .isEmpty();
--- a/src/test/java/plumpost/lab/LabServer.java
+++ b/src/test/java/plumpost/lab/LabServer.java
@@ -47,7 +47,7 @@
         InetSocketAddress[] listening = new InetSocketAddress[1];
         front.open((to, users, maxConnections, batched, unread, shed) -> listening[0] = loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), users, maxConnections, unread, shed)
-                .batched()
+                .batchWrites()
                 .address());
         address = listening[0];
         Thread thread = new Thread(
--- a/src/test/java/plumpost/lab/MisbehavingServer.java
+++ b/src/test/java/plumpost/lab/MisbehavingServer.java
@@ -50,7 +50,7 @@
     }
 
     private static void write(Socket socket, Type type, Object... arguments) throws IOException {
-        for (ByteBuffer b : Packet.bytes(Packet.RESPONSE, type, arguments)) {
+        for (ByteBuffer b : Packet.encode(Packet.RESPONSE, type, arguments)) {
             socket.getOutputStream().write(b.array(), b.position(), b.remaining());
         }
     }
--- a/src/test/java/plumpost/lab/fleet/BoundariesIT.java
+++ b/src/test/java/plumpost/lab/fleet/BoundariesIT.java
@@ -98,7 +98,7 @@
             awaitUntil(description + ": it runs", () -> runCount(key) > 0);
             awaitUntil(
                     description + ": nothing is left",
-                    () -> showFleet().object("schedule").whole("begun") == 0);
+                    () -> showFleet().object("schedule").integer("begun") == 0);
             assertThat(runCount(key)).as(description).isLessThanOrEqualTo(2);
         }
         first.close();
--- a/src/test/java/plumpost/lab/fleet/FleetTestBase.java
+++ b/src/test/java/plumpost/lab/fleet/FleetTestBase.java
@@ -206,9 +206,9 @@
         awaitUntil("all ran or were given up", () -> {
             Fields status = showFleet();
             return status != null
-                    && status.object("schedule").whole("waiting") == 0
-                    && status.object("schedule").whole("begun") == 0
-                    && status.object("schedule").whole("fired") == 0
+                    && status.object("schedule").integer("waiting") == 0
+                    && status.object("schedule").integer("begun") == 0
+                    && status.object("schedule").integer("fired") == 0
                     && keys.stream().allMatch(k -> runCount(k) > 0 || isGivenUp(status, k));
         });
         assertThat(keys).allSatisfy(k -> assertThat(runCount(k)).as(k).isLessThanOrEqualTo(1));
--- a/src/test/java/plumpost/lab/fleet/FormatsIT.java
+++ b/src/test/java/plumpost/lab/fleet/FormatsIT.java
@@ -11,7 +11,7 @@
 class FormatsIT extends FleetTestBase {
 
     private int writtenFormat() {
-        return showFleet().whole("format");
+        return showFleet().integer("format");
     }
 
     /** Restarts a process as a program with another newest format; jobs submitted after that each run once. */
--- a/src/test/java/plumpost/net/AcceptFailuresIT.java
+++ b/src/test/java/plumpost/net/AcceptFailuresIT.java
@@ -38,7 +38,7 @@
         try (FaultLibrary faults = new FaultLibrary(null);
                 SchedulerProcess scheduler = new SchedulerProcess(file, faults.environment())) {
             scheduler.awaitReady();
-            double cpuSecondsBefore = scheduler.account().cpuSeconds();
+            double cpuSecondsBefore = scheduler.resourceUsage().cpuSeconds();
             faults.failAccepts(1);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
@@ -52,14 +52,15 @@
                                 .getBytes(StandardCharsets.US_ASCII));
             }
             Thread.sleep(FAILING_MS);
-            double cpuSeconds = scheduler.account().cpuSeconds() - cpuSecondsBefore;
+            double cpuSeconds = scheduler.resourceUsage().cpuSeconds() - cpuSecondsBefore;
             faults.failAccepts(0);
             for (Socket client : clients) {
                 client.setSoTimeout(5_000);
                 assertThat(status(client)).isEqualTo("HTTP/1.1 503");
                 client.close();
             }
-            assertThat(scheduler.get("/counters")).contains("net.accept_failed.", "jobs.too_late " + CLIENTS + "\n");
+            assertThat(scheduler.httpGet("/counters"))
+                    .contains("net.accept_failed.", "jobs.too_late " + CLIENTS + "\n");
             assertThat(cpuSeconds)
                     .as("seconds of processor time while calls failed")
                     .isLessThan(FAILING_MS / 1e3 / 2);
--- a/src/test/java/plumpost/net/SelectorLoopTest.java
+++ b/src/test/java/plumpost/net/SelectorLoopTest.java
@@ -30,7 +30,7 @@
             }
 
             @Override
-            public void bytes(ByteBuffer in) {
+            public void received(ByteBuffer in) {
                 beforeRecording.run();
                 received.add(StandardCharsets.US_ASCII.decode(in).toString());
             }
@@ -57,7 +57,7 @@
             });
             loop.run(() -> received.contains("ended"));
         }
-        assertThat(counters.of("net.unread")).isPositive();
+        assertThat(counters.get("net.unread")).isPositive();
     }
 
     /** Guards new connections at the maximum: each replaces one that is shed, and none is shed without need. */
@@ -74,15 +74,15 @@
                 },
                 2,
                 () -> {
-                    connections.remove(0).cut();
+                    connections.remove(0).closeNow();
                     return true;
                 });
         for (int i = 0; i < 5; i++) {
             loop.dial(listener.address(), connection -> recordingHandler(connection, "", () -> {}));
         }
         double deadlineMs = clock.nowMs() + 10_000;
-        loop.run(() -> counters.of("net.accepted") == 5 || clock.nowMs() > deadlineMs);
-        assertThat(counters.of("net.accepted")).isEqualTo(5);
+        loop.run(() -> counters.get("net.accepted") == 5 || clock.nowMs() > deadlineMs);
+        assertThat(counters.get("net.accepted")).isEqualTo(5);
         assertThat(connections)
                 .hasSizeBetween(2, 3); // one connection beyond the maximum is accepted before another is shed
     }
@@ -102,8 +102,8 @@
             clients.add(SocketChannel.open(listener.address()));
         }
         loop.turn(0);
-        assertThat(counters.of("net.accepted")).isBetween(1L, 64L);
-        loop.run(() -> counters.of("net.accepted") == 200);
+        assertThat(counters.get("net.accepted")).isBetween(1L, 64L);
+        loop.run(() -> counters.get("net.accepted") == 200);
         for (SocketChannel client : clients) {
             client.close();
         }
@@ -122,7 +122,7 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 connection -> {
                     connections.add(connection);
-                    return recordingHandler(connection, "", () -> connections.forEach(Connection::look));
+                    return recordingHandler(connection, "", () -> connections.forEach(Connection::readAvailable));
                 },
                 8,
                 () -> false);
@@ -130,6 +130,6 @@
         loop.dial(listener.address(), connection -> recordingHandler(connection, "two", () -> {}));
         loop.run(() -> received.size() == 2);
         assertThat(received).containsExactlyInAnyOrder("one", "two");
-        assertThat(counters.of("net.fault")).isZero();
+        assertThat(counters.get("net.fault")).isZero();
     }
 }
--- a/src/test/java/plumpost/platform/ClientDisconnectTest.java
+++ b/src/test/java/plumpost/platform/ClientDisconnectTest.java
@@ -34,12 +34,12 @@
     }
 
     private static String job(String className, String id) {
-        return SocketRig.job(className, id, "X-Remaining-Ms: 6000\r\n", "towels");
+        return SocketRig.jobRequest(className, id, "X-Remaining-Ms: 6000\r\n", "towels");
     }
 
     /** Returns whether a complete request for the job reaches the only node within the given time. */
     private static boolean wasForwarded(SocketRig rig, double waitMs) {
-        rig.pass(waitMs);
+        rig.advance(waitMs);
         boolean sent = false;
         for (Peer node = rig.nodes.get(0).poll();
                 node != null;
@@ -59,15 +59,15 @@
                     try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                         Peer client = rig.client();
                         if (accepted) {
-                            rig.until("accepted", () -> rig.counters.of("net.accepted") == 1);
+                            rig.turnUntil("accepted", () -> rig.counters.get("net.accepted") == 1);
                         }
                         client.send(job(className, "a") + pipelined);
                         kind.disconnect(client);
                         assertThat(wasForwarded(rig, 1_000))
                                 .as("%s with %s ahead", className, pipelined)
                                 .isFalse();
-                        assertThat(rig.counters.of("attempts.out")).isZero();
-                        assertThat(rig.room.open()).isZero();
+                        assertThat(rig.counters.get("attempts.out")).isZero();
+                        assertThat(rig.core.openJobCount()).isZero();
                     }
                 }
             }
@@ -80,15 +80,15 @@
     void disconnectWhileNoNodeIsAvailable(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
-                rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[]}");
+                rig.platform.applyFleetLine("{\"seq\":2,\"whole\":true,\"hosts\":[]}");
                 Peer client = rig.client();
                 client.send(job(className, "a"));
-                rig.until("held", () -> rig.room.open() == 1);
+                rig.turnUntil("held", () -> rig.core.openJobCount() == 1);
                 kind.disconnect(client);
-                rig.until("noticed", () -> rig.room.open() == 0);
-                rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}");
+                rig.turnUntil("noticed", () -> rig.core.openJobCount() == 0);
+                rig.platform.applyFleetLine("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "up") + "]}");
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
-                assertThat(rig.counters.of("jobs.client_gone")).isEqualTo(1);
+                assertThat(rig.counters.get("jobs.client_gone")).isEqualTo(1);
             }
         }
     }
@@ -101,16 +101,16 @@
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
                 Peer client = rig.client();
                 client.send(job("pickup-order", "a"));
-                rig.until("an attempt", () -> rig.counters.of("attempts.out") == 1);
+                rig.turnUntil("an attempt", () -> rig.counters.get("attempts.out") == 1);
                 Peer node = up ? rig.nodes.get(0).accept() : null;
                 if (up) {
                     node.expect("towel");
                 }
                 kind.disconnect(client);
-                rig.until("noticed", () -> rig.room.open() == 0);
+                rig.turnUntil("noticed", () -> rig.core.openJobCount() == 0);
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
                 if (up) {
-                    rig.until("the node's connection ends", node::over);
+                    rig.turnUntil("the node's connection ends", node::isClosed);
                     assertThat(node.text()).doesNotContain("s");
                 }
             }
@@ -125,11 +125,11 @@
             Peer client = rig.client();
             client.send(job("pickup-order", "a"));
             Peer node = rig.nodes.get(0).accept();
-            rig.passUntil("the order", 50, () -> node.text().endsWith("towels"));
+            rig.advanceUntil("the order", 50, () -> node.text().endsWith("towels"));
             node.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-            rig.until("turned away", () -> rig.counters.of("attempts.full") == 1);
+            rig.turnUntil("turned away", () -> rig.counters.get("attempts.full") == 1);
             kind.disconnect(client);
-            rig.until("noticed", () -> rig.room.open() == 0);
+            rig.turnUntil("noticed", () -> rig.core.openJobCount() == 0);
             assertThat(wasForwarded(rig, 3_000)).isFalse();
         }
     }
@@ -143,10 +143,10 @@
             client.send(job("route-plan", "a") + job("pickup-order", "b"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towels");
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             kind.disconnect(client); // the answer and the client's close cross
             assertThat(wasForwarded(rig, 1_000)).isFalse();
-            assertThat(rig.counters.of("attempts.out")).isEqualTo(1);
+            assertThat(rig.counters.get("attempts.out")).isEqualTo(1);
         }
     }
 
@@ -160,27 +160,29 @@
                 firstClient.send(job("route-plan", "w"));
                 Peer node = rig.nodes.get(0).accept();
                 node.expect("towels");
-                node.send(SocketRig.done("w"));
+                node.send(SocketRig.doneAnswer("w"));
                 firstClient.expect(
                         "r-w"); // from here on a connection to the node is idle, and a job would be sent at once
-                rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
+                rig.platform.applyFleetLine(
+                        "{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "draining") + "]}");
                 Peer client = rig.client();
                 client.send(job(className, "a"));
-                rig.until("held", () -> rig.room.open() == 1);
-                rig.after(10, () -> disconnect(kind, client));
-                rig.after(
+                rig.turnUntil("held", () -> rig.core.openJobCount() == 1);
+                rig.schedule(10, () -> disconnect(kind, client));
+                rig.schedule(
                         390,
-                        () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
-                rig.jump(400);
-                assertThat(rig.counters.of("attempts.out"))
+                        () -> rig.platform.applyFleetLine(
+                                "{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "up") + "]}"));
+                rig.advanceInOneTurn(400);
+                assertThat(rig.counters.get("attempts.out"))
                         .as("only the one before")
                         .isEqualTo(1);
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
                 assertThat(node.text()).isEmpty();
-                assertThat(rig.counters.of("jobs.client_gone")).isEqualTo(1);
+                assertThat(rig.counters.get("jobs.client_gone")).isEqualTo(1);
                 Peer nextClient = rig.client(); // and the dispatcher does not wait for the job that was never sent
                 nextClient.send(job("route-plan", "z"));
-                rig.until("it goes out", () -> rig.counters.of("attempts.out") == 2);
+                rig.turnUntil("it goes out", () -> rig.counters.get("attempts.out") == 2);
             }
         }
     }
@@ -193,7 +195,8 @@
     void disconnectOnTheGearmanFrontWhileTheLoopIsBlocked(Disconnect kind) throws IOException {
         for (String className : CLASSES) {
             try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
-                rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
+                rig.platform.applyFleetLine(
+                        "{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "draining") + "]}");
                 Peer client = rig.gearmanClient();
                 client.send(Packet.Type.SUBMIT_JOB, className, "", "towels");
                 client.send(
@@ -201,22 +204,23 @@
                         className,
                         "",
                         "towels"); // found disconnected by the check for the first
-                rig.until("held", () -> rig.room.open() == 2);
-                rig.after(10, () -> disconnect(kind, client));
-                rig.after(
+                rig.turnUntil("held", () -> rig.core.openJobCount() == 2);
+                rig.schedule(10, () -> disconnect(kind, client));
+                rig.schedule(
                         390,
-                        () -> rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}"));
-                rig.jump(400);
-                assertThat(rig.counters.of("attempts.out")).isZero();
+                        () -> rig.platform.applyFleetLine(
+                                "{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "up") + "]}"));
+                rig.advanceInOneTurn(400);
+                assertThat(rig.counters.get("attempts.out")).isZero();
                 assertThat(wasForwarded(rig, 1_000)).isFalse();
-                assertThat(rig.room.open()).isZero();
+                assertThat(rig.core.openJobCount()).isZero();
                 assertThat(rig.counters.toString()).doesNotContain("guard.");
                 for (int next = 1;
                         next <= 2;
                         next++) { // and the dispatcher does not wait for the jobs that were never sent
                     rig.client().send(job("route-plan", "z" + next));
                     int out = next;
-                    rig.until("it goes out", () -> rig.counters.of("attempts.out") == out);
+                    rig.turnUntil("it goes out", () -> rig.counters.get("attempts.out") == out);
                 }
             }
         }
@@ -231,11 +235,11 @@
             client.send(job("pickup-order", "a"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towel");
-            rig.after(1, () -> disconnect(kind, client));
-            rig.jump(400);
-            rig.until("the node's connection ends", node::over);
+            rig.schedule(1, () -> disconnect(kind, client));
+            rig.advanceInOneTurn(400);
+            rig.turnUntil("the node's connection ends", node::isClosed);
             assertThat(node.text()).as("the last byte").isEmpty();
-            assertThat(rig.room.open()).isZero();
+            assertThat(rig.core.openJobCount()).isZero();
         }
     }
 
--- a/src/test/java/plumpost/platform/ConnectionClosingTest.java
+++ b/src/test/java/plumpost/platform/ConnectionClosingTest.java
@@ -27,12 +27,13 @@
             Peer client = rig.client();
             client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
-            rig.pass(300);
-            rig.after(1, () -> client.send(LIVENESS_REQUEST));
-            rig.jump(61_000); // the sweep that closes connections idle for a minute runs in the same turn, after the
+            rig.advance(300);
+            rig.schedule(1, () -> client.send(LIVENESS_REQUEST));
+            rig.advanceInOneTurn(
+                    61_000); // the sweep that closes connections idle for a minute runs in the same turn, after the
             // request
             client.expect("200 OK");
-            assertThat(client.over()).isFalse();
+            assertThat(client.isClosed()).isFalse();
         }
     }
 
@@ -44,16 +45,16 @@
             Peer client = rig.client();
             client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
-            rig.platform.stop(rig.now, 700);
-            rig.pass(2_200);
-            rig.after(1, () -> client.send(SocketRig.job("route-plan", "a", "", "x")));
-            rig.jump(200);
+            rig.platform.stop(rig.nowMs, 700);
+            rig.advance(2_200);
+            rig.schedule(1, () -> client.send(SocketRig.jobRequest("route-plan", "a", "", "x")));
+            rig.advanceInOneTurn(200);
             Peer node = rig.nodes.get(0).accept();
             node.expect("POST /route-plan");
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             assertThat(client.expect("r-a")).contains("Connection: close");
-            rig.until("its end", client::over);
-            assertThat(client.reset).isFalse();
+            rig.turnUntil("its end", client::isClosed);
+            assertThat(client.failed).isFalse();
         }
     }
 
@@ -63,14 +64,14 @@
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
             client.send("GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
-            rig.until("an answer that closes", () -> rig.counters.of("front.answers.404") == 1);
-            rig.after(1, () -> client.send("x".repeat(100_000)));
-            rig.jump(600); // the connection is closed in the same turn, after the bytes have arrived
-            rig.until("its end", client::over);
+            rig.turnUntil("an answer that closes", () -> rig.counters.get("front.answers.404") == 1);
+            rig.schedule(1, () -> client.send("x".repeat(100_000)));
+            rig.advanceInOneTurn(600); // the connection is closed in the same turn, after the bytes have arrived
+            rig.turnUntil("its end", client::isClosed);
             assertThat(client.text()).contains("404 Not Found");
             rig.turn(); // a registered channel is closed by the next selection
             client.send("y"); // fails if a reset has arrived
-            assertThat(client.reset).isFalse();
+            assertThat(client.failed).isFalse();
         }
     }
 
@@ -79,13 +80,13 @@
     void silentAndShedConnectionsCloseWithoutReset() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer silent = rig.client();
-            rig.until("accepted", () -> rig.counters.of("net.accepted") == 1);
-            rig.pass(2_300);
+            rig.turnUntil("accepted", () -> rig.counters.get("net.accepted") == 1);
+            rig.advance(2_300);
             assertClosedWithoutReset(rig, silent);
             Peer idle = rig.client();
             idle.send(LIVENESS_REQUEST);
             idle.expect("200 OK");
-            rig.pass(200);
+            rig.advance(200);
             assertThat(rig.platform.shed()).isTrue();
             assertClosedWithoutReset(rig, idle);
         }
@@ -95,9 +96,9 @@
     private static void assertClosedWithoutReset(SocketRig rig, Peer client) {
         rig.turn();
         client.send(LIVENESS_REQUEST);
-        rig.until("its end", client::over);
+        rig.turnUntil("its end", client::isClosed);
         client.send(LIVENESS_REQUEST); // fails if the previous send was answered with a reset
-        assertThat(client.reset).isFalse();
+        assertThat(client.failed).isFalse();
     }
 
     /** Guards answers at the end of the process: one larger than the socket buffers is written completely before it ends. */
@@ -107,19 +108,19 @@
             rig.platform.ready();
             Peer client = rig.client();
             String largeResult = "x".repeat(60_000);
-            client.narrow();
-            client.send(SocketRig.job("route-plan", "a", "Connection: close\r\n", "x"));
+            client.limitReceiveBuffer();
+            client.send(SocketRig.jobRequest("route-plan", "a", "Connection: close\r\n", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("POST /route-plan");
             node.send(SocketRig.CHUNKED);
-            rig.platform.stop(rig.now, 700);
-            rig.pass(2_400);
-            node.send(SocketRig.chunk(SocketRig.line("a", largeResult)) + "0\r\n\r\n");
-            rig.until("an answer", () -> rig.counters.of("front.answers.200") == 1);
-            assertThat(rig.platform.quiet()).isTrue();
-            rig.end(() -> !client.text().isEmpty() | rig.platform.quiet());
+            rig.platform.stop(rig.nowMs, 700);
+            rig.advance(2_400);
+            node.send(SocketRig.chunk(SocketRig.doneLine("a", largeResult)) + "0\r\n\r\n");
+            rig.turnUntil("an answer", () -> rig.counters.get("front.answers.200") == 1);
+            assertThat(rig.platform.isIdle()).isTrue();
+            rig.runUntilEnd(() -> !client.text().isEmpty() | rig.platform.isIdle());
             assertThat(client.text()).endsWith(largeResult);
-            assertThat(client.reset).isFalse();
+            assertThat(client.failed).isFalse();
         }
     }
 
@@ -128,14 +129,14 @@
     void aConnectionArrivingJustBeforeTheEndIsAnswered() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
-            rig.platform.stop(rig.now, 700);
-            rig.pass(3_500);
-            assertThat(rig.platform.quiet()).isTrue();
+            rig.platform.stop(rig.nowMs, 700);
+            rig.advance(3_500);
+            assertThat(rig.platform.isIdle()).isTrue();
             Peer late = rig.client();
-            late.send(SocketRig.job("pickup-order", "a", "", "x"));
-            rig.end(() -> late.text() != null && rig.platform.quiet());
+            late.send(SocketRig.jobRequest("pickup-order", "a", "", "x"));
+            rig.runUntilEnd(() -> late.text() != null && rig.platform.isIdle());
             assertThat(late.text()).contains("503 Service Unavailable", "Connection: close");
-            assertThat(late.reset).isFalse();
+            assertThat(late.failed).isFalse();
         }
     }
 
@@ -151,19 +152,19 @@
             Peer client = rig.client();
             client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
-            rig.platform.stop(rig.now, 700);
-            double stoppedAtMs = rig.now;
-            rig.pass(710);
-            boolean open = !client.over();
+            rig.platform.stop(rig.nowMs, 700);
+            double stoppedAtMs = rig.nowMs;
+            rig.advance(710);
+            boolean open = !client.isClosed();
             assertThat(open).as("connections stay where jobs have time to run").isEqualTo(killAfterMs >= 2_200);
-            client.send(SocketRig.job("pickup-order", "a", "", "x")); // no node answers it
-            rig.pass(stoppedAtMs + killAfterMs - rig.now - 100);
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "x")); // no node answers it
+            rig.advance(stoppedAtMs + killAfterMs - rig.nowMs - 100);
             assertThat(client.text()).as("answered by the time of SIGKILL").startsWith(open ? "HTTP/1.1 5" : "");
-            assertThat(client.over()).isTrue();
-            assertThat(client.reset).isFalse();
-            assertThat(rig.room.open()).isZero();
+            assertThat(client.isClosed()).isTrue();
+            assertThat(client.failed).isFalse();
+            assertThat(rig.core.openJobCount()).isZero();
             Peer late = rig.client();
-            late.send(SocketRig.job("pickup-order", "b", "", "x"));
+            late.send(SocketRig.jobRequest("pickup-order", "b", "", "x"));
             late.expect("503 Service Unavailable");
         }
     }
@@ -174,7 +175,7 @@
         int pipelined = 4_000;
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("POST /route-plan");
             StringBuilder requests = new StringBuilder();
@@ -182,14 +183,14 @@
                 requests.append(LIVENESS_REQUEST);
             }
             client.send(requests.toString());
-            rig.pass(500);
-            assertThat(client.over()).isFalse();
-            node.send(SocketRig.done("a"));
-            rig.pass(50); // buffered requests are read by a timer
-            rig.until("all answers", () -> rig.counters.of("front.answers.200") == pipelined + 1);
+            rig.advance(500);
+            assertThat(client.isClosed()).isFalse();
+            node.send(SocketRig.doneAnswer("a"));
+            rig.advance(50); // buffered requests are read by a timer
+            rig.turnUntil("all answers", () -> rig.counters.get("front.answers.200") == pipelined + 1);
             assertThat(client.text()).startsWith("HTTP/1.1 200 OK").contains("r-a");
-            assertThat(client.reset).isFalse();
-            assertThat(rig.counters.of("front.far_ahead")).isPositive();
+            assertThat(client.failed).isFalse();
+            assertThat(rig.counters.get("front.far_ahead")).isPositive();
         }
     }
 
@@ -199,16 +200,17 @@
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             rig.platform.ready();
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x") + SocketRig.job("route-plan", "b", "", "y"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x")
+                    + SocketRig.jobRequest("route-plan", "b", "", "y"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("POST /route-plan");
-            rig.platform.stop(rig.now, 700);
-            rig.pass(3_000);
+            rig.platform.stop(rig.nowMs, 700);
+            rig.advance(3_000);
             assertThat(client.text()).isEmpty();
-            rig.pass(200);
-            rig.until("its end", client::over);
+            rig.advance(200);
+            rig.turnUntil("its end", client::isClosed);
             assertThat(client.text()).matches("(?s)HTTP/1.1 503.*HTTP/1.1 503.*Connection: close.*");
-            assertThat(client.reset).isFalse();
+            assertThat(client.failed).isFalse();
         }
     }
 
@@ -220,10 +222,10 @@
             Peer client = rig.client();
             client.send(LIVENESS_REQUEST);
             client.expect("200 OK");
-            rig.platform.stop(rig.now, 700);
-            rig.pass(1_000);
-            client.send(SocketRig.job("pickup-order", "a", "", "x"));
-            rig.pass(2_500);
+            rig.platform.stop(rig.nowMs, 700);
+            rig.advance(1_000);
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "x"));
+            rig.advance(2_500);
             client.expect("503 Service Unavailable");
         }
     }
--- a/src/test/java/plumpost/platform/HeaderForwardingTest.java
+++ b/src/test/java/plumpost/platform/HeaderForwardingTest.java
@@ -14,7 +14,7 @@
     void allFieldsExceptHopByHopOnesAreForwarded() throws Exception {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             SocketRig.Peer client = rig.client();
-            client.send(SocketRig.job(
+            client.send(SocketRig.jobRequest(
                     "pickup-order",
                     "a",
                     "Idempotency-Key: 77c8\r\nX-Remaining-Ms: 700\r\n"
@@ -22,7 +22,7 @@
                             + "idempotency-note:  two \r\nExpect: nothing\r\n",
                     "towels"));
             SocketRig.Peer node = rig.nodes.get(0).accept();
-            rig.passUntil("the order's last byte", 50, () -> node.text().endsWith("\r\n\r\ntowels"));
+            rig.advanceUntil("the order's last byte", 50, () -> node.text().endsWith("\r\n\r\ntowels"));
             String forwarded = node.text();
             assertThat(forwarded)
                     .contains(
@@ -31,7 +31,7 @@
             for (String field : new String[] {"X-Txn", "X-Lane", "X-Remaining-Ms", "Content-Length", "Host"}) {
                 assertThat(forwarded.split("\r\n" + field + ": ", -1)).as(field).hasSize(2);
             }
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
         }
     }
--- a/src/test/java/plumpost/platform/PlatformTest.java
+++ b/src/test/java/plumpost/platform/PlatformTest.java
@@ -35,7 +35,7 @@
             node1 close
             desk1 expect 500
             """);
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(1);
     }
 
     /** Guards the distinction between orders that cannot have run and others: one cut off before its last byte is retried. */
@@ -51,7 +51,7 @@
             node1 send done a van
             desk1 expect 200 van
             """);
-        assertThat(scenario.counters.of("attempts.connect_failed")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.connect_failed")).isEqualTo(1);
     }
 
     /**
@@ -88,9 +88,9 @@
             node1 send started a
             wait 2900
             """);
-        assertThat(scenario.counters.of("nodes.silent")).isEqualTo(1);
+        assertThat(scenario.counters.get("nodes.silent")).isEqualTo(1);
         scenario.play("wait 500");
-        assertThat(scenario.counters.of("nodes.silent")).isEqualTo(2);
+        assertThat(scenario.counters.get("nodes.silent")).isEqualTo(2);
     }
 
     /** Guards the outcomes of orders: an attempt after which the order may have run is answered with an error. */
@@ -143,7 +143,7 @@
         Scenario scenario = new Scenario(1)
                 .play("desk1 send POST /pickup-order a 20000 x\nnode1 expect POST /pickup-order a x\n"
                         + "node1 send {\"a\":" + "[".repeat(50_000) + "\ndesk1 expect 500");
-        assertThat(scenario.counters.of("nodes.malformed")).isEqualTo(1);
+        assertThat(scenario.counters.get("nodes.malformed")).isEqualTo(1);
     }
 
     /** Guards the answer before the deadline: with a silent node, and with an empty node list. */
@@ -165,7 +165,7 @@
     @Test
     void aNewProcessAsksForTheListAtOnce() {
         Scenario scenario = new Scenario(1).play("list expect GET /registry/instances?follow=1&since=1");
-        assertThat(scenario.counters.of("list.asked")).isEqualTo(1);
+        assertThat(scenario.counters.get("list.asked")).isEqualTo(1);
     }
 
     /** Guards drains: if a node begins to drain while a connection is being established, nothing is written on it. */
@@ -177,18 +177,18 @@
             node1 wait
             desk1 send POST /pickup-order a 20000 x
             """);
-        scenario.play("list send {\"seq\":2,\"whole\":false,\"hosts\":[" + Scenario.host(1, "draining", 0) + "]}");
+        scenario.play("list send {\"seq\":2,\"whole\":false,\"hosts\":[" + Scenario.hostEntry(1, "draining", 0) + "]}");
         scenario.play("wait 3000\nnode1 expect closed\ndesk1 expect nothing");
-        assertThat(scenario.counters.of("attempts.out")).isEqualTo(1);
+        assertThat(scenario.counters.get("attempts.out")).isEqualTo(1);
     }
 
     /** Guards the watch: after silence, a close or a malformed list it is reopened from the last valid version. */
     @Test
     void theWatchIsReopenedFromTheLastVersion() {
         Scenario scenario = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
-        scenario.play(
-                "list send {\"seq\":5,\"whole\":false,\"hosts\":[{\"host\":7}," + Scenario.host(2, "up", 0) + "]}");
-        assertThat(scenario.counters.of("list.malformed_line")).isEqualTo(1);
+        scenario.play("list send {\"seq\":5,\"whole\":false,\"hosts\":[{\"host\":7}," + Scenario.hostEntry(2, "up", 0)
+                + "]}");
+        assertThat(scenario.counters.get("list.malformed_line")).isEqualTo(1);
         scenario.play(
                 "wait 2490\nlist expect nothing\nwait 1020\nlist expect GET /registry/instances?follow=1&since=5");
         scenario.play("list send {rubbish\nwait 4000\nlist expect GET /registry/instances?follow=1&since=5");
@@ -202,15 +202,15 @@
     void theWatchFollowsAMoveOfDiscovery() {
         Scenario scenario = new Scenario(1).play("wait 4000\nlist expect GET /registry/instances?follow=1&since=1");
         scenario.play("list send {\"seq\":90,\"whole\":false,\"hosts\":[]}");
-        scenario.platform.reload(scenario.config("127.0.0.1:8501"));
+        scenario.platform.reload(scenario.configWithDiscovery("127.0.0.1:8501"));
         scenario.play(
                 "wait 2\nlist8501 expect GET /registry/instances?follow=1\nlist8501 send {rubbish\nlist8501 expect closed");
-        scenario.play("list send {\"seq\":91,\"whole\":false,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
+        scenario.play("list send {\"seq\":91,\"whole\":false,\"hosts\":[" + Scenario.hostEntry(2, "up", 0) + "]}");
         scenario.play("wait 1600\nlist8501 expect GET /registry/instances?follow=1\nlist expect nothing");
-        scenario.play("list8501 send {\"seq\":3,\"whole\":true,\"hosts\":[" + Scenario.host(2, "up", 0) + "]}");
+        scenario.play("list8501 send {\"seq\":3,\"whole\":true,\"hosts\":[" + Scenario.hostEntry(2, "up", 0) + "]}");
         scenario.play("list expect closed\nlist8501 close\nwait 1600\nlist8501 expect GET /*?follow=1&since=3");
-        scenario.platform.reload(scenario.config("127.0.0.1:8501"));
-        assertThat(scenario.counters.of("list.moved")).isEqualTo(1);
+        scenario.platform.reload(scenario.configWithDiscovery("127.0.0.1:8501"));
+        assertThat(scenario.counters.get("list.moved")).isEqualTo(1);
     }
 
     /**
@@ -251,7 +251,7 @@
             node1 send "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\n\\r\\nx0=2"
             node1 expect POST /route-plan b x
             """);
-        assertThat(scenario.counters.of("probes.ok")).isEqualTo(2);
+        assertThat(scenario.counters.get("probes.ok")).isEqualTo(2);
     }
 
     /** Guards nodes against a lack of connections in the scheduler: it does not count as their failure. */
@@ -262,10 +262,10 @@
             scenario.play("desk" + i + " send POST /pickup-order j" + i + " 20000 x");
         }
         scenario.play("wait 300");
-        assertThat(scenario.counters.of("nodes.no_connection"))
+        assertThat(scenario.counters.get("nodes.no_connection"))
                 .isPositive()
-                .isEqualTo(scenario.counters.of("attempts.moot"));
-        assertThat(scenario.counters.of("attempts.connect_failed")).isZero();
+                .isEqualTo(scenario.counters.get("attempts.moot"));
+        assertThat(scenario.counters.get("attempts.connect_failed")).isZero();
     }
 
     /** Guards the connection pool: an idle connection is closed well before the node's keep-alive time ends. */
@@ -372,7 +372,7 @@
     @Test
     void shutdownKeepsServingAndThenAnswersOpenJobs() {
         Scenario scenario = new Scenario(1).play("desk1 send GET /health/ready\ndesk1 expect 200");
-        scenario.platform.stop(scenario.now, 700);
+        scenario.platform.stop(scenario.nowMs, 700);
         scenario.play("""
             desk2 send POST /pickup-order early 20000 x
             node1 expect POST /pickup-order early x
@@ -386,7 +386,7 @@
             desk1 expect "HTTP/1.1 500*Connection: close*"
             desk2 expect "HTTP/1.1 500*Connection: close*"
             """);
-        assertThat(scenario.counters.of("jobs.cut_short")).isEqualTo(2);
+        assertThat(scenario.counters.get("jobs.cut_short")).isEqualTo(2);
     }
 
     /** Guards the shutdown: not ready, idle connections closed, open jobs finished, new jobs still accepted. */
@@ -398,7 +398,7 @@
             desk2 expect 200
             node1 send started a
             """);
-        scenario.platform.stop(scenario.now, 700);
+        scenario.platform.stop(scenario.nowMs, 700);
         scenario.play("""
             desk2 expect nothing
             wait 2302
@@ -407,7 +407,7 @@
             desk3 expect "HTTP/1.1 503*Connection: close*"
             desk4 send POST /route-plan b 8000 y
             """);
-        assertThat(scenario.platform.quiet()).isFalse();
+        assertThat(scenario.platform.isIdle()).isFalse();
         scenario.play("""
             node1 send done b r
             desk4 expect "HTTP/1.1 200*Connection: close*r"
--- a/src/test/java/plumpost/platform/RetriesTest.java
+++ b/src/test/java/plumpost/platform/RetriesTest.java
@@ -24,14 +24,14 @@
     private static final String TURNED_AWAY = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
     private static Peer submitOrder(SocketRig rig, Peer client, String id) {
-        client.send(SocketRig.job("pickup-order", id, "", "towels"));
+        client.send(SocketRig.jobRequest("pickup-order", id, "", "towels"));
         return awaitWholeOrder(rig, rig.nodes.get(0).accept());
     }
 
     /** Waits for the next connection to any node and returns it. */
     private static Peer awaitNextAttempt(SocketRig rig) {
         Peer[] next = new Peer[1];
-        rig.passUntil(
+        rig.advanceUntil(
                 "another attempt",
                 3_000,
                 () -> rig.nodes.stream().anyMatch(node -> next[0] == null && (next[0] = node.poll()) != null));
@@ -39,7 +39,7 @@
     }
 
     private static Peer awaitWholeOrder(SocketRig rig, Peer node) {
-        rig.passUntil("the order's last byte", 50, () -> node.text().endsWith("towels"));
+        rig.advanceUntil("the order's last byte", 50, () -> node.text().endsWith("towels"));
         return node;
     }
 
@@ -48,11 +48,11 @@
     void aGuardedJobIsRetriedWithinItsWindow() throws IOException {
         try (SocketRig rig = new SocketRig(GUARDED, 2)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("pickup-order", "a", "", "towels"));
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "towels"));
             awaitWholeOrder(rig, awaitNextAttempt(rig)).reset();
-            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.done("a"));
+            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
-            assertThat(rig.counters.of("guard.repeat")).isZero();
+            assertThat(rig.counters.get("guard.repeat")).isZero();
         }
     }
 
@@ -61,16 +61,16 @@
     void theWindowEndsBeforeTheLastByteOfARepeat() throws IOException {
         try (SocketRig rig = new SocketRig(GUARDED, 2)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("pickup-order", "a", "", "towels"));
-            double sentAtMs = rig.now;
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "towels"));
+            double sentAtMs = rig.nowMs;
             Peer first = awaitWholeOrder(rig, awaitNextAttempt(rig));
-            rig.pass(sentAtMs + WINDOW_MS - 4 - rig.now);
+            rig.advance(sentAtMs + WINDOW_MS - 4 - rig.nowMs);
             first.reset();
             Peer second = awaitNextAttempt(rig);
             second.expect("towel");
-            assertThat(rig.now).isLessThan(sentAtMs + WINDOW_MS);
-            rig.pass(20);
-            rig.until("its end", second::over);
+            assertThat(rig.nowMs).isLessThan(sentAtMs + WINDOW_MS);
+            rig.advance(20);
+            rig.turnUntil("its end", second::isClosed);
             assertThat(second.text()).isEmpty();
             client.expect("500 Internal");
         }
@@ -81,17 +81,19 @@
     @ValueSource(strings = {"all", "cell"})
     void theWindowEndsWhileARepeatWaits(String scope) throws IOException {
         try (SocketRig rig = new SocketRig(GUARDED.replace("\"all\"", "\"" + scope + "\""), 2)) {
-            String other = rig.host(1, scope.equals("all") ? "draining" : "up").replace("\"block\":0", "\"block\":1");
-            rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "up") + "]}");
+            String other =
+                    rig.hostEntry(1, scope.equals("all") ? "draining" : "up").replace("\"block\":0", "\"block\":1");
+            rig.platform.applyFleetLine("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "up") + "]}");
             Peer client = rig.client();
             Peer first = submitOrder(rig, client, "a");
-            double sentAtMs = rig.now;
-            rig.platform.told("{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "," + other + "]}");
+            double sentAtMs = rig.nowMs;
+            rig.platform.applyFleetLine(
+                    "{\"seq\":3,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "draining") + "," + other + "]}");
             first.reset();
-            rig.until("its end", () -> rig.counters.of("attempts.reset") == 1);
-            rig.pass(WINDOW_MS - (rig.now - sentAtMs) - 20);
+            rig.turnUntil("its end", () -> rig.counters.get("attempts.reset") == 1);
+            rig.advance(WINDOW_MS - (rig.nowMs - sentAtMs) - 20);
             assertThat(client.text()).as("it still waits").isEmpty();
-            rig.pass(40);
+            rig.advance(40);
             client.expect("500 Internal");
             assertThat(rig.nodes.get(1).poll()).as("outside the group").isNull();
         }
@@ -102,18 +104,18 @@
     void aLateSecondAnswerClosesItsConnection() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
-            client.send(SocketRig.job("route-plan", "b", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "b", "", "x"));
             node.expect("X-Txn: b");
             node.send(TURNED_AWAY); // to the first job, which was answered already
-            rig.until("the end of a connection on which b may run", node::over);
+            rig.turnUntil("the end of a connection on which b may run", node::isClosed);
             Peer retry = awaitNextAttempt(rig);
             retry.expect("X-Txn: b");
-            retry.send(SocketRig.done("b"));
+            retry.send(SocketRig.doneAnswer("b"));
             client.expect("r-b");
         }
     }
@@ -123,16 +125,16 @@
     void aLateSecondAnswerIsNotCountedAsANodeError() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
-            client.send(SocketRig.job("route-plan", "b", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "b", "", "x"));
             node.expect("X-Txn: b");
-            node.send(SocketRig.done("a"));
-            rig.until("the attempt ends", () -> rig.counters.of("attempts.reset") == 1);
-            assertThat(rig.room.avoided()).isZero();
+            node.send(SocketRig.doneAnswer("a"));
+            rig.turnUntil("the attempt ends", () -> rig.counters.get("attempts.reset") == 1);
+            assertThat(rig.core.avoidedNodeCount()).isZero();
             awaitNextAttempt(rig).expect("X-Txn: b");
         }
     }
@@ -142,13 +144,13 @@
     void anUnterminatedAnswerReleasesItsConnection() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            node.send(SocketRig.CHUNKED + SocketRig.chunk(SocketRig.line("a", "r-a")) + "ff\r\n{");
+            node.send(SocketRig.CHUNKED + SocketRig.chunk(SocketRig.doneLine("a", "r-a")) + "ff\r\n{");
             client.expect("r-a");
-            rig.passUntil("its connection ends", 400, node::over);
-            assertThat(rig.counters.of("nodes.unended")).isEqualTo(1);
+            rig.advanceUntil("its connection ends", 400, node::isClosed);
+            assertThat(rig.counters.get("nodes.unended")).isEqualTo(1);
         }
     }
 
@@ -158,14 +160,14 @@
     void anAnswerBeforeTheOrderIsCompleteIsIgnored(boolean served) throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("pickup-order", "a", "", "towels"));
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "towels"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("towel");
-            node.send(served ? SocketRig.done("a") : TURNED_AWAY);
-            rig.until("the attempt ends", () -> rig.counters.of("attempts.connect_failed") == 1);
-            rig.until("and its connection", node::over);
+            node.send(served ? SocketRig.doneAnswer("a") : TURNED_AWAY);
+            rig.turnUntil("the attempt ends", () -> rig.counters.get("attempts.connect_failed") == 1);
+            rig.turnUntil("and its connection", node::isClosed);
             assertThat(node.text()).as("the last byte").isEmpty();
-            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.done("a"));
+            awaitWholeOrder(rig, awaitNextAttempt(rig)).send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
         }
     }
@@ -174,21 +176,21 @@
     @Test
     void idleConnectionsFollowTheSettingsInForce() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
-            rig.room.retune(SettingsReader.settings(Json.object(
+            rig.core.retune(SettingsReader.settings(Json.object(
                     "settings",
                     Scenario.SETTINGS
                             .replace("\"keepaliveMs\":5000.0", "\"keepaliveMs\":800.0")
                             .getBytes(StandardCharsets.UTF_8))));
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            node.send(SocketRig.done("a"));
+            node.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
-            rig.pass(300);
-            assertThat(node.over()).isFalse();
-            rig.pass(150);
-            rig.until("retired before the node closes it", node::over);
+            rig.advance(300);
+            assertThat(node.isClosed()).isFalse();
+            rig.advance(150);
+            rig.turnUntil("retired before the node closes it", node::isClosed);
         }
     }
 
@@ -198,18 +200,18 @@
         String returned = SocketRig.CHUNKED + SocketRig.chunk("{\"id\":\"a\",\"state\":\"returned\"}\n") + "0\r\n\r\n";
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
             node.send(returned);
             Peer retry = awaitNextAttempt(rig);
             retry.expect("X-Txn: a");
             node.send(returned); // once more, some milliseconds late
-            rig.pass(100);
-            assertThat(rig.counters.of("attempts.out"))
+            rig.advance(100);
+            assertThat(rig.counters.get("attempts.out"))
                     .as("beside the one that runs")
                     .isEqualTo(2);
-            retry.send(SocketRig.done("a"));
+            retry.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
         }
     }
@@ -219,14 +221,14 @@
     void aJobIsRetriedAfterAnUnterminatedErrorAnswer() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
             node.send("HTTP/1.1 500 Oops\r\nContent-Length: 100\r\n\r\nhalf");
             Peer retry = awaitNextAttempt(rig);
-            assertThat(node.over()).as("the first try is given up").isTrue();
+            assertThat(node.isClosed()).as("the first try is given up").isTrue();
             retry.expect("X-Txn: a");
-            retry.send(SocketRig.done("a"));
+            retry.send(SocketRig.doneAnswer("a"));
             client.expect("r-a");
         }
     }
@@ -238,13 +240,13 @@
         try (SocketRig rig = new SocketRig(
                 Scenario.SETTINGS.replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":" + dialTimeoutMs), 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("route-plan", "a", "", "x"));
+            client.send(SocketRig.jobRequest("route-plan", "a", "", "x"));
             Peer node = rig.nodes.get(0).accept();
             node.expect("X-Txn: a");
-            rig.pass(timeoutMs - 20);
-            assertThat(node.over()).isFalse();
-            rig.pass(40);
-            rig.until("it is given up", node::over);
+            rig.advance(timeoutMs - 20);
+            assertThat(node.isClosed()).isFalse();
+            rig.advance(40);
+            rig.turnUntil("it is given up", node::isClosed);
             awaitNextAttempt(rig).expect("X-Txn: a");
         }
     }
@@ -254,11 +256,11 @@
     void aConnectionNoLongerNeededOnceOpenIsNoFault() throws IOException {
         try (SocketRig rig = new SocketRig(Scenario.SETTINGS, 1)) {
             Peer client = rig.client();
-            client.send(SocketRig.job("pickup-order", "a", "", "towels"));
-            rig.until("an attempt", () -> rig.counters.of("attempts.out") == 1);
-            rig.platform.told("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.host(0, "draining") + "]}");
-            rig.until("its end", () -> rig.counters.of("attempts.connect_failed") == 1);
-            assertThat(rig.counters.of("net.fault")).as(rig.log.toString()).isZero();
+            client.send(SocketRig.jobRequest("pickup-order", "a", "", "towels"));
+            rig.turnUntil("an attempt", () -> rig.counters.get("attempts.out") == 1);
+            rig.platform.applyFleetLine("{\"seq\":2,\"whole\":true,\"hosts\":[" + rig.hostEntry(0, "draining") + "]}");
+            rig.turnUntil("its end", () -> rig.counters.get("attempts.connect_failed") == 1);
+            assertThat(rig.counters.get("net.fault")).as(rig.log.toString()).isZero();
         }
     }
 }
--- a/src/test/java/plumpost/platform/ShutdownScheduleTest.java
+++ b/src/test/java/plumpost/platform/ShutdownScheduleTest.java
@@ -18,14 +18,15 @@
     @Property
     void answersAreWrittenBeforeSigkillDespiteDelays(
             @ForAll @DoubleRange(min = 700, max = 60_000) double longestDeadlineMs,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double signalDelayMs,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double turnDelayMs,
-            @ForAll @DoubleRange(min = 0, max = HoldUp.MS) double writeDelayMs) {
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MAX_HOLD_UP_MS) double signalDelayMs,
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MAX_HOLD_UP_MS) double turnDelayMs,
+            @ForAll @DoubleRange(min = 0, max = HoldUp.MAX_HOLD_UP_MS) double writeDelayMs) {
         ShutdownSchedule schedule = ShutdownSchedule.compute(signalDelayMs, longestDeadlineMs);
         double writtenAtMs = schedule.lastCallAtMs() + turnDelayMs + writeDelayMs;
         assertThat(writtenAtMs)
                 .isLessThan(Math.max(
-                        killAt(0, longestDeadlineMs) - 50, ShutdownSchedule.NEW_CONNECTIONS_MS + 3 * HoldUp.MS));
+                        killAt(0, longestDeadlineMs) - 50,
+                        ShutdownSchedule.NEW_CONNECTIONS_MS + 3 * HoldUp.MAX_HOLD_UP_MS));
         assertThat(schedule.killAtMs()).isLessThanOrEqualTo(killAt(0, longestDeadlineMs));
     }
 
--- a/src/test/java/plumpost/time/TimeTest.java
+++ b/src/test/java/plumpost/time/TimeTest.java
@@ -20,16 +20,16 @@
         List<Double> delaysMs = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             double dueMs = startMs + random.nextDouble(60_000);
-            TimerWheel.Timer timer = wheel.at(dueMs, () -> delaysMs.add(nowMs[0] - dueMs));
+            TimerWheel.Timer timer = wheel.schedule(dueMs, () -> delaysMs.add(nowMs[0] - dueMs));
             if (i % 3 == 0) {
                 timer.cancel();
             }
         }
         while (nowMs[0] < startMs + 60_010) {
-            double quietUntilMs = wheel.quietUntil(nowMs[0], 500);
+            double quietUntilMs = wheel.idleUntil(nowMs[0], 500);
             assertThat(quietUntilMs).isLessThanOrEqualTo(nowMs[0] + 500);
             nowMs[0] = Math.max(nowMs[0] + 0.1, quietUntilMs);
-            wheel.turnTo(nowMs[0]);
+            wheel.advanceTo(nowMs[0]);
         }
         assertThat(delaysMs).hasSize(2000).allMatch(delayMs -> delayMs >= 0 && delayMs <= 2 * TimerWheel.TICK_MS);
     }
--- a/src/test/java/plumpost/time/TimerFaultsTest.java
+++ b/src/test/java/plumpost/time/TimerFaultsTest.java
@@ -13,14 +13,14 @@
     void otherTimersOfATickRunWhenOneThrows() {
         TimerWheel wheel = new TimerWheel(0);
         List<String> ran = new ArrayList<>();
-        wheel.at(10, () -> ran.add("before"));
-        wheel.at(10, () -> {
+        wheel.schedule(10, () -> ran.add("before"));
+        wheel.schedule(10, () -> {
             throw new IllegalStateException("of one timer");
         });
-        wheel.at(10, () -> ran.add("after"));
-        wheel.at(20, () -> ran.add("later"));
-        assertThatThrownBy(() -> wheel.turnTo(30)).hasMessage("of one timer");
-        wheel.turnTo(30);
+        wheel.schedule(10, () -> ran.add("after"));
+        wheel.schedule(20, () -> ran.add("later"));
+        assertThatThrownBy(() -> wheel.advanceTo(30)).hasMessage("of one timer");
+        wheel.advanceTo(30);
         assertThat(ran).containsExactly("before", "after", "later");
     }
 }
--- a/src/test/java/plumpost/time/UnixTimeTest.java
+++ b/src/test/java/plumpost/time/UnixTimeTest.java
@@ -23,7 +23,7 @@
         double eventMs = monotonicMs;
         monotonicMs += 2_000;
         offsetMs += stepMs;
-        assertThat(unixTime.latestMoment(eventUnixMs)).isEqualTo(eventMs, within(UnixTime.STEP_THRESHOLD_MS));
+        assertThat(unixTime.toLatestClockTime(eventUnixMs)).isEqualTo(eventMs, within(UnixTime.STEP_THRESHOLD_MS));
         assertThat(unixTime.steps()).isEqualTo(1);
     }
 
@@ -34,14 +34,14 @@
         offsetMs += stepMs;
         monotonicMs += 100;
         double eventUnixMs = monotonicMs - 50 + offsetMs;
-        assertThat(unixTime.latestMoment(eventUnixMs))
+        assertThat(unixTime.toLatestClockTime(eventUnixMs))
                 .isBetween(monotonicMs - 50 - UnixTime.STEP_THRESHOLD_MS, monotonicMs);
     }
 
     /** A time that no clock had is taken as now, so that a cold worker is neither missed nor treated as cold for long. */
     @Test
     void futureTimeIsTakenAsNow() {
-        assertThat(unixTime.latestMoment(unixTime.nowMs() + 10 * HOUR_MS)).isEqualTo(monotonicMs);
+        assertThat(unixTime.toLatestClockTime(unixTime.nowMs() + 10 * HOUR_MS)).isEqualTo(monotonicMs);
     }
 
     /** Checks that many steps are counted and converted exactly, and that drift is followed without a step. */
